--- a/core/src/main/java/org/passhaven/core/log/ReadWindow.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadWindow.java
@@ -1,45 +1,49 @@
 package org.passhaven.core.log;
 
 /**
- * How many reads of history a node may have under way. Nobody tells a node how many others read at
- * the same moment, nor what its link carries, so it learns that from its own reads: one more while
- * they are quick, half as many when one is lost. Times in monotonic milliseconds. Not thread-safe.
+ * Limits the number of concurrent history reads of a node by additive increase and multiplicative
+ * decrease: the limit grows by one after a fast read and is halved when a read is lost. The node
+ * knows neither the bandwidth of its link nor how many other nodes are reading. Times are in
+ * monotonic milliseconds. Not thread-safe.
  */
 public final class ReadWindow {
-  /** A few at once, since one connection carries only a window's worth in a round trip. */
-  private static final int FIRST_READS = 4;
+  /** More than one, since a single connection does not fill a link with a long round trip. */
+  private static final int INITIAL_READS = 4;
 
-  /** At a quarter of a megabyte each, two megabytes of a small heap are under way at most. */
+  /** Bounds the memory held by reads in flight to two megabytes. */
   private static final int MAX_READS = 8;
 
-  /** Below this a read had hardly to wait for others: a piece takes 35 ms over 60 Mbit/s. */
-  private static final long QUICK_MILLIS = 300;
+  /** A read that completes within this time raises the limit. */
+  private static final long FAST_READ_MILLIS = 300;
 
-  /** Above this reads are queueing; they would be lost at some 1,200 ms of silence. */
-  private static final long SLOW_MILLIS = 800;
+  /** A read that takes at least this long was queued and lowers the limit. */
+  private static final long SLOW_READ_MILLIS = 800;
 
-  private int reads = FIRST_READS;
-  private long shrunkAtMillis = Long.MIN_VALUE;
+  private int limit = INITIAL_READS;
+  private long lastLossAtMillis = Long.MIN_VALUE;
 
-  /** Reads that may be under way now; at least one. */
+  /** Returns the maximum number of concurrent reads; at least one. */
   public int reads() {
-    return reads;
+    return limit;
   }
 
-  /** A read was answered. */
-  public void onAnswered(long tookMillis) {
-    if (tookMillis <= QUICK_MILLIS) {
-      reads = Math.min(MAX_READS, reads + 1);
-    } else if (tookMillis >= SLOW_MILLIS) {
-      reads = Math.max(1, reads - 1);
+  /** Adjusts the limit after a read that completed. */
+  public void onAnswered(long durationMillis) {
+    if (durationMillis <= FAST_READ_MILLIS) {
+      limit = Math.min(MAX_READS, limit + 1);
+    } else if (durationMillis >= SLOW_READ_MILLIS) {
+      limit = Math.max(1, limit - 1);
     }
   }
 
-  /** A read was lost. Reads that began before the last loss was noticed tell nothing new. */
-  public void onLost(long begunAtMillis, long nowMillis) {
-    if (begunAtMillis >= shrunkAtMillis) {
-      reads = Math.max(1, reads / 2);
-      shrunkAtMillis = nowMillis;
+  /**
+   * Halves the limit after a lost read. Reads that started before the last loss was detected are
+   * ignored, so that reads lost together halve the limit only once.
+   */
+  public void onLost(long startedAtMillis, long nowMillis) {
+    if (startedAtMillis >= lastLossAtMillis) {
+      limit = Math.max(1, limit / 2);
+      lastLossAtMillis = nowMillis;
     }
   }
 }
--- a/core/src/main/java/org/passhaven/core/log/package-info.java
+++ b/core/src/main/java/org/passhaven/core/log/package-info.java
@@ -1,2 +1,2 @@
-/** Identity and order of records in a stream. */
+/** Duplicate detection for records of a stream, and concurrency of history reads. */
 package org.passhaven.core.log;
--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
@@ -5,41 +5,42 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against a read limit that leaves its bounds or reacts wrongly to lost reads. */
 class ReadWindowTest {
   private final ReadWindow window = new ReadWindow();
 
-  private void answer(int times, long tookMillis) {
-    for (int i = 0; i < times; i++) {
-      window.onAnswered(tookMillis);
+  private void completeReads(int count, long durationMillis) {
+    for (int i = 0; i < count; i++) {
+      window.onAnswered(durationMillis);
     }
   }
 
   @Test
-  void quickAnswersOpenItUpToABound() {
+  void fastReadsRaiseTheLimitUpToTheMaximum() {
     assertThat(window.reads(), is(4));
-    answer(2, 40);
+    completeReads(2, 40);
     assertThat(window.reads(), is(6));
-    answer(20, 40);
+    completeReads(20, 40);
     assertThat(window.reads(), is(8));
   }
 
   @Test
-  void slowAnswersCloseItButForOne() {
-    answer(2, 900);
+  void slowReadsLowerTheLimitToOne() {
+    completeReads(2, 900);
     assertThat(window.reads(), is(2));
-    answer(20, 900);
+    completeReads(20, 900);
     assertThat(window.reads(), is(1));
   }
 
   @Test
-  void answersInBetweenChangeNothing() {
-    answer(20, 500);
+  void readsOfMediumDurationKeepTheLimit() {
+    completeReads(20, 500);
     assertThat(window.reads(), is(4));
   }
 
   @Test
-  void readsThatAreLostTogetherHalveItOnce() {
-    answer(4, 40);
+  void readsLostTogetherHalveTheLimitOnce() {
+    completeReads(4, 40);
     window.onLost(100, 1_300);
     window.onLost(100, 1_300);
     window.onLost(1_200, 2_400);
