--- a/core/src/main/java/org/passhaven/core/run/AttemptId.java
+++ b/core/src/main/java/org/passhaven/core/run/AttemptId.java
@@ -1,11 +1,11 @@
 package org.passhaven.core.run;
 
 /**
- * One try at generating a slot.
+ * Identifies one attempt at generating the sample of a slot.
  *
- * @param epoch lease epoch of the owner that began it
+ * @param epoch lease epoch of the owner that started the attempt
  * @param step step number
- * @param slot slot in the shard's part of the step
- * @param attempt grows with each try at the slot, also across owners
+ * @param slot index of the slot in the shard's part of the step
+ * @param attempt number of the attempt, which increases across owners too
  */
 public record AttemptId(long epoch, long step, int slot, int attempt) {}
--- a/core/src/main/java/org/passhaven/core/run/RunAction.java
+++ b/core/src/main/java/org/passhaven/core/run/RunAction.java
@@ -6,13 +6,13 @@
 import org.passhaven.protocol.Sample;
 import org.passhaven.protocol.Segment;
 
-/** What the owner of a shard decides to do; carried out at the edge. */
+/** Action that the owner of a shard requests; the node executes it. */
 public sealed interface RunAction {
   /**
-   * Send a sample to an engine.
+   * Generate a sample on an engine.
    *
-   * @param prefix tokens kept from an earlier try, which the engine continues
-   * @param priority higher goes first on the engine
+   * @param prefix tokens of earlier attempts, which the engine continues
+   * @param priority scheduling priority on the engine; higher values run first
    */
   record Generate(
       AttemptId attempt,
@@ -23,9 +23,9 @@
       int priority)
       implements RunAction {}
 
-  /** Stop a generation whose sample is no longer wanted. */
+  /** Cancel a generation whose sample is no longer needed. */
   record Cancel(AttemptId attempt) implements RunAction {}
 
-  /** Have a sample scored. */
+  /** Request the score of a sample. */
   record Score(AttemptId attempt, Sample sample) implements RunAction {}
 }
--- a/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
+++ b/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
@@ -23,32 +23,32 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * Decisions of the owner of one shard in one epoch: which slots to generate where, what to commit,
- * what to hand over. Holds the content of samples, which is not in the log; a successor starts
- * without it. Pure: no clock, no I/O. Not thread-safe.
+ * Schedules the generation, commit and delivery of samples for the owner of one shard during one
+ * lease epoch. The content of samples is held in memory only and not in the log, so a new owner
+ * starts without it. Performs no I/O and reads no clock. Not thread-safe.
  */
 public final class RunCoordinator {
-  private static final int PRIORITY_SPAN = 1000;
-  private static final long MOST_STEPS_BEHIND = 8;
-  private static final long NONE = -1;
-  private static final long SWAP_PATIENCE_MILLIS = 15_000;
-  private static final long SHORT_SWAP_PATIENCE_MILLIS = 4_000;
+  private static final int PRIORITIES_PER_LEVEL = 1000;
+  private static final long MAX_STEPS_BEHIND = 8;
+  private static final long NO_STEP = -1;
+  private static final long SWAP_WAIT_MILLIS = 15_000;
+  private static final long SHORT_SWAP_WAIT_MILLIS = 4_000;
   private final RunState state;
   private final long epoch;
   private TrainerSettings settings;
   private final DispatchPolicy policy;
-  private final Map<Long, StepWork> work = new TreeMap<>();
-  private final Map<StepPrompt, ServerId> affinity = new HashMap<>();
+  private final Map<Long, StepProgress> progressByStep = new TreeMap<>();
+  private final Map<StepPrompt, ServerId> engineByPrompt = new HashMap<>();
   private long trainerVersion;
-  private long pulledStep = NONE;
+  private long pulledStep = NO_STEP;
   private long versionAtPull;
-  private long versionSinceMillis = Long.MIN_VALUE / 2;
-  private int roundRobin;
+  private long versionReportedAtMillis = Long.MIN_VALUE / 2;
+  private int roundRobinOffset;
   private long discardedTokens;
 
   /**
-   * Creates the owner's decisions for {@code epoch}; {@code state} is the fold, read but not
-   * changed.
+   * Creates the coordinator for {@code epoch}; {@code state} is the replicated state of the shard,
+   * which is read but not modified.
    */
   public RunCoordinator(
       RunState state, long epoch, TrainerSettings settings, DispatchPolicy policy) {
@@ -60,50 +60,55 @@
   }
 
   /**
-   * The fold moved on: takes in new steps, drops finished ones, marks commits that were read back.
+   * Follows a change of the replicated state: adds new steps, drops finished ones and marks commits
+   * that were read back from the log.
    */
   public void onFolded() {
     trainerVersion = Math.max(trainerVersion, state.trainerVersion());
-    work.keySet().removeIf(step -> state.step(step) == null);
-    affinity.keySet().removeIf(key -> state.step(key.step()) == null);
+    progressByStep.keySet().removeIf(step -> state.step(step) == null);
+    engineByPrompt.keySet().removeIf(key -> state.step(key.step()) == null);
     for (StepState step : state.steps()) {
-      work.computeIfAbsent(step.step(), number -> new StepWork(step)).onFolded();
+      progressByStep.computeIfAbsent(step.step(), number -> new StepProgress(step)).markCommitted();
     }
   }
 
-  /** A new configuration came into force; it holds for all that is not yet handed over. */
+  /** Applies new settings, also to samples that are generated but not yet delivered. */
   public void setSettings(TrainerSettings newSettings) {
     settings = Objects.requireNonNull(newSettings, "newSettings");
   }
 
-  /** The trainer stated its version; never goes back. */
+  /** Records the weight version that the trainer reports; lower versions are ignored. */
   public void onTrainerVersion(long version, long nowMillis) {
     if (version > trainerVersion) {
       trainerVersion = version;
-      versionSinceMillis = nowMillis;
+      versionReportedAtMillis = nowMillis;
     }
   }
 
-  /** Newest version that the trainer stated. */
+  /** Returns the newest weight version that the trainer reported. */
   public long trainerVersion() {
     return trainerVersion;
   }
 
-  /** Tokens thrown away so far in this epoch. */
+  /** Returns the number of tokens discarded in this epoch. */
   public long discardedTokens() {
     return discardedTokens;
   }
 
-  /** Generations to cancel because their samples would be over the bound when taken. */
+  /**
+   * Cancels generations whose samples would exceed the staleness bound when the trainer pulls them,
+   * and returns the actions for it.
+   */
   public List<RunAction> cancelOverAge() {
     List<RunAction> actions = new ArrayList<>();
     if (policy == DispatchPolicy.BASELINE) {
       return actions;
     }
-    for (StepWork step : work.values()) {
-      for (SlotWork slot : step.slots) {
-        if (slot.phase == SlotWork.Phase.GENERATING && isOverAge(step, oldestVersion(slot))) {
-          actions.add(new RunAction.Cancel(slot.attemptId(epoch, step.number())));
+    for (StepProgress step : progressByStep.values()) {
+      for (SlotProgress slot : step.slots) {
+        if (slot.phase == SlotProgress.Phase.GENERATING
+            && exceedsStalenessBound(step, oldestVersion(slot))) {
+          actions.add(new RunAction.Cancel(slot.attemptId(epoch, step.stepNumber())));
           discard(slot);
         }
       }
@@ -112,84 +117,91 @@
   }
 
   /**
-   * Generations to begin now, earliest step first. While the trainer waits for the last samples of
-   * a step, samples of later steps stay off the engines that run them, since a fuller batch is a
-   * slower one.
+   * Returns the generations to start now, earliest step first. Samples of later steps avoid engines
+   * that run samples which the trainer waits for, since a larger batch slows each of its samples.
    */
   public List<RunAction> dispatch(
       Collection<EngineView> engines, String localZone, long nowMillis) {
-    Set<ServerId> awaited = policy == DispatchPolicy.DEFAULT ? enginesOfPulledStep() : Set.of();
+    Set<ServerId> awaitedEngines =
+        policy == DispatchPolicy.DEFAULT ? enginesOfPulledStep() : Set.of();
     EnginePicker picker = picker(engines, localZone);
-    List<EngineView> others =
-        engines.stream().filter(view -> !awaited.contains(view.id())).toList();
-    EnginePicker pickerForLater = awaited.isEmpty() ? picker : picker(others, localZone);
+    List<EngineView> otherEngines =
+        engines.stream().filter(view -> !awaitedEngines.contains(view.id())).toList();
+    EnginePicker pickerForLater =
+        awaitedEngines.isEmpty() ? picker : picker(otherEngines, localZone);
     long newestServed = engines.stream().mapToLong(EngineView::version).max().orElse(0);
     List<RunAction> actions = new ArrayList<>();
     int stepsAhead = 0;
-    for (StepWork step : work.values()) {
-      if (mayStart(step)) {
-        EnginePicker chosen = step.number() <= pulledStep ? picker : pickerForLater;
-        int priority = settings.priority() * PRIORITY_SPAN - stepsAhead;
+    for (StepProgress step : progressByStep.values()) {
+      if (mayGenerate(step)) {
+        EnginePicker stepPicker = step.stepNumber() <= pulledStep ? picker : pickerForLater;
+        int priority = settings.priority() * PRIORITIES_PER_LEVEL - stepsAhead;
         dispatchStep(
-            step, chosen, oldestAllowedFor(step, newestServed, nowMillis), priority, actions);
+            step,
+            stepPicker,
+            oldestAllowedVersion(step, newestServed, nowMillis),
+            priority,
+            actions);
       }
       stepsAhead++;
     }
-    roundRobin += actions.size();
+    roundRobinOffset += actions.size();
     return actions;
   }
 
   private EnginePicker picker(Collection<EngineView> engines, String localZone) {
     return policy == DispatchPolicy.BASELINE
-        ? new RoundRobinPicker(engines, roundRobin)
+        ? new RoundRobinPicker(engines, roundRobinOffset)
         : new LeastLoadedPicker(engines, localZone);
   }
 
-  /** Engines that run samples for which the trainer waits. */
+  /** Returns the engines that run samples of the step that the trainer pulls. */
   public Set<ServerId> enginesOfPulledStep() {
-    StepWork pulled = work.get(pulledStep);
+    StepProgress pulled = progressByStep.get(pulledStep);
     if (pulled == null) {
       return Set.of();
     }
     return pulled.slots.stream()
-        .filter(slot -> slot.phase == SlotWork.Phase.GENERATING)
+        .filter(slot -> slot.phase == SlotProgress.Phase.GENERATING)
         .map(slot -> slot.engine)
         .collect(Collectors.toSet());
   }
 
   private void dispatchStep(
-      StepWork step,
+      StepProgress step,
       EnginePicker picker,
       long oldestAllowed,
       int priority,
       List<RunAction> actions) {
-    for (SlotWork slot : step.plannedFirstCommitted()) {
-      StepPrompt prompt = new StepPrompt(step.number(), step.state.promptOf(slot.slot).index());
-      Optional<EngineView> engine = picker.pick(oldestAllowed, affinity.get(prompt));
+    for (SlotProgress slot : step.plannedSlots()) {
+      StepPrompt prompt =
+          new StepPrompt(step.stepNumber(), step.state.promptOf(slot.index).index());
+      Optional<EngineView> engine = picker.pick(oldestAllowed, engineByPrompt.get(prompt));
       if (engine.isEmpty()) {
         return;
       }
-      affinity.put(prompt, engine.get().id());
-      actions.add(begin(step, slot, engine.get(), priority));
+      engineByPrompt.put(prompt, engine.get().id());
+      actions.add(startGeneration(step, slot, engine.get(), priority));
     }
   }
 
-  private RunAction begin(StepWork step, SlotWork slot, EngineView engine, int priority) {
-    if (isOverAge(step, oldestVersion(slot))) {
+  private RunAction startGeneration(
+      StepProgress step, SlotProgress slot, EngineView engine, int priority) {
+    if (exceedsStalenessBound(step, oldestVersion(slot))) {
       discard(slot);
     }
-    slot.begin(engine.id());
+    slot.startAttempt(engine.id());
     return new RunAction.Generate(
-        slot.attemptId(epoch, step.number()),
+        slot.attemptId(epoch, step.stepNumber()),
         engine,
-        step.state.promptOf(slot.slot),
-        step.state.sampleIndexOf(slot.slot),
+        step.state.promptOf(slot.index),
+        step.state.sampleIndexOf(slot.index),
         List.copyOf(slot.segments),
         priority);
   }
 
-  private boolean mayStart(StepWork step) {
-    long ahead = expectedVersionAt(step.number()) - trainerVersion;
+  private boolean mayGenerate(StepProgress step) {
+    long ahead = expectedVersionAt(step.stepNumber()) - trainerVersion;
     boolean waitsForWeights =
         settings.objective() == TrainerSettings.Objective.STALENESS
             && policy == DispatchPolicy.DEFAULT;
@@ -197,42 +209,42 @@
   }
 
   /**
-   * Oldest engine version that a new sample of the step may begin on: one that keeps it within the
-   * bound when it is taken, and, while engines are about to swap to the trainer's version, that
-   * version.
+   * Returns the oldest weight version that may generate a new sample of the step. It keeps the
+   * sample within the staleness bound when it is pulled. While engines are expected to swap to the
+   * trainer's version, it is that version.
    */
-  private long oldestAllowedFor(StepWork step, long newestServed, long nowMillis) {
-    long withinBound = expectedVersionAt(step.number()) - settings.stalenessBound();
+  private long oldestAllowedVersion(StepProgress step, long newestServed, long nowMillis) {
+    long withinBound = expectedVersionAt(step.stepNumber()) - settings.stalenessBound();
     if (policy == DispatchPolicy.BASELINE) {
       return withinBound;
     }
-    boolean weighsStaleness = settings.objective() == TrainerSettings.Objective.STALENESS;
-    long patience = weighsStaleness ? SWAP_PATIENCE_MILLIS : SHORT_SWAP_PATIENCE_MILLIS;
-    boolean awaited = step.number() <= pulledStep && !weighsStaleness;
-    if (nowMillis - versionSinceMillis < patience && !awaited) {
+    boolean minimizesStaleness = settings.objective() == TrainerSettings.Objective.STALENESS;
+    long swapWaitMillis = minimizesStaleness ? SWAP_WAIT_MILLIS : SHORT_SWAP_WAIT_MILLIS;
+    boolean isAwaited = step.stepNumber() <= pulledStep && !minimizesStaleness;
+    if (nowMillis - versionReportedAtMillis < swapWaitMillis && !isAwaited) {
       return Math.max(withinBound, trainerVersion);
     }
     return Math.max(
-        withinBound, weighsStaleness ? Math.min(newestServed, trainerVersion) : withinBound);
+        withinBound, minimizesStaleness ? Math.min(newestServed, trainerVersion) : withinBound);
   }
 
-  /** New tokens of a running attempt arrived; returns false if the attempt is no longer wanted. */
+  /** Adds new tokens to a running attempt; returns false if the attempt is no longer needed. */
   public boolean onSegment(AttemptId attempt, Segment segment) {
-    Optional<SlotWork> slot = running(attempt);
-    slot.ifPresent(work -> work.append(segment));
+    Optional<SlotProgress> slot = findGenerating(attempt);
+    slot.ifPresent(progress -> progress.append(segment));
     return slot.isPresent();
   }
 
-  /** The engine finished an attempt. */
+  /** Handles the completion of an attempt and returns the score request, if one is needed. */
   public List<RunAction> onGenerated(AttemptId attempt) {
-    Optional<SlotWork> slot = running(attempt);
+    Optional<SlotProgress> slot = findGenerating(attempt);
     if (slot.isEmpty()) {
       return List.of();
     }
-    SlotWork finished = slot.get();
+    SlotProgress finished = slot.get();
     StepState step = state.step(attempt.step());
     if (finished.segments.isEmpty()) {
-      finished.phase = SlotWork.Phase.PLANNED;
+      finished.phase = SlotProgress.Phase.PLANNED;
       return List.of();
     }
     finished.sample =
@@ -244,16 +256,16 @@
             finished.segments,
             Double.NaN);
     if (settings.scorer().isEmpty()) {
-      finished.phase = SlotWork.Phase.READY;
+      finished.phase = SlotProgress.Phase.READY;
       return List.of();
     }
-    finished.phase = SlotWork.Phase.SCORING;
+    finished.phase = SlotProgress.Phase.SCORING;
     return List.of(new RunAction.Score(attempt, finished.sample));
   }
 
-  /** The scorer answered. */
+  /** Stores the score of a sample, which is then ready to commit. */
   public void onScored(AttemptId attempt, double score) {
-    find(attempt, SlotWork.Phase.SCORING)
+    find(attempt, SlotProgress.Phase.SCORING)
         .ifPresent(
             slot -> {
               Sample sample = slot.sample;
@@ -265,45 +277,45 @@
                       sample.attempt(),
                       sample.segments(),
                       score);
-              slot.phase = SlotWork.Phase.READY;
+              slot.phase = SlotProgress.Phase.READY;
             });
   }
 
   /**
-   * An attempt failed.
+   * Schedules a failed attempt again.
    *
-   * @param keepTokens whether the tokens so far are whole and truthful, so that another engine may
-   *     go on
+   * @param keepTokens whether the tokens so far are intact, so that another engine may continue
+   *     them
    */
   public void onFailed(AttemptId attempt, boolean keepTokens) {
-    running(attempt)
+    findGenerating(attempt)
         .ifPresent(
             slot -> {
               if (!keepTokens) {
                 discard(slot);
               }
-              slot.phase = SlotWork.Phase.PLANNED;
+              slot.phase = SlotProgress.Phase.PLANNED;
             });
   }
 
-  /** The record that commits all ready samples of one step; empty if there are none. */
+  /** Returns the record that commits all ready samples of one step; empty if there are none. */
   public Optional<LogRecord> commitReady() {
-    for (StepWork step : work.values()) {
+    for (StepProgress step : progressByStep.values()) {
       List<Commit> commits = new ArrayList<>();
-      for (SlotWork slot : step.slots) {
-        if (slot.phase == SlotWork.Phase.READY) {
+      for (SlotProgress slot : step.slots) {
+        if (slot.phase == SlotProgress.Phase.READY) {
           commitOrDiscard(step, slot, commits);
         }
       }
       if (!commits.isEmpty()) {
-        return Optional.of(new LogRecord.SamplesCommitted(epoch, step.number(), commits));
+        return Optional.of(new LogRecord.SamplesCommitted(epoch, step.stepNumber(), commits));
       }
     }
     return Optional.empty();
   }
 
-  private void commitOrDiscard(StepWork step, SlotWork slot, List<Commit> commits) {
-    if (isOverAge(step, slot.sample.oldestVersion())) {
+  private void commitOrDiscard(StepProgress step, SlotProgress slot, List<Commit> commits) {
+    if (exceedsStalenessBound(step, slot.sample.oldestVersion())) {
       discard(slot);
       return;
     }
@@ -311,11 +323,11 @@
       slot.position = step.nextPosition++;
     }
     slot.sample = slot.sample.atPosition(slot.position);
-    slot.phase = SlotWork.Phase.COMMITTING;
+    slot.phase = SlotProgress.Phase.COMMITTING;
     commits.add(
         new Commit(
             slot.position,
-            slot.slot,
+            slot.index,
             slot.attempt,
             slot.sample.oldestVersion(),
             slot.sample.newestVersion(),
@@ -323,22 +335,22 @@
   }
 
   /**
-   * Samples after a cursor, in order of position, as far as they are there. One that has grown
-   * older than the bound is thrown away, to be regenerated into the same position.
+   * Returns the available samples from a cursor on, in order of position and without gaps. Samples
+   * that exceed the staleness bound by now are discarded and regenerated at the same position.
    */
-  public List<Sample> pull(long step, long cursor, int most) {
-    StepWork stepWork = work.get(step);
+  public List<Sample> pull(long step, long cursor, int maxSamples) {
+    StepProgress stepProgress = progressByStep.get(step);
     List<Sample> samples = new ArrayList<>();
-    if (stepWork == null) {
+    if (stepProgress == null) {
       return samples;
     }
-    for (long position = cursor; samples.size() < most; position++) {
-      SlotWork slot = stepWork.atPosition(position);
-      if (slot == null || slot.phase != SlotWork.Phase.COMMITTED) {
+    for (long position = cursor; samples.size() < maxSamples; position++) {
+      SlotProgress slot = stepProgress.slotAt(position);
+      if (slot == null || slot.phase != SlotProgress.Phase.COMMITTED) {
         break;
       }
       if (trainerVersion - slot.sample.oldestVersion() > settings.stalenessBound()) {
-        discardAllOverAge(stepWork);
+        discardStaleSamples(stepProgress);
         break;
       }
       samples.add(slot.sample);
@@ -346,69 +358,70 @@
     return samples;
   }
 
-  private void discardAllOverAge(StepWork step) {
-    for (SlotWork slot : step.slots) {
-      boolean held = slot.phase == SlotWork.Phase.COMMITTED;
-      if (held && trainerVersion - slot.sample.oldestVersion() > settings.stalenessBound()) {
+  private void discardStaleSamples(StepProgress step) {
+    for (SlotProgress slot : step.slots) {
+      boolean isCommitted = slot.phase == SlotProgress.Phase.COMMITTED;
+      if (isCommitted && trainerVersion - slot.sample.oldestVersion() > settings.stalenessBound()) {
         discard(slot);
       }
     }
   }
 
   /**
-   * The trainer asked for a step's samples after a cursor: it keeps all before, and takes this step
-   * at the version that it is at now. Content that an earlier owner lost is generated again from
-   * here on.
+   * Records that the trainer pulls a step's samples from a cursor on. This acknowledges all samples
+   * before the cursor and schedules samples after it whose content was lost with an earlier owner.
    */
   public void onPull(long step, long cursor) {
     if (step >= pulledStep) {
       pulledStep = step;
       versionAtPull = trainerVersion;
     }
-    StepWork stepWork = work.get(step);
-    if (stepWork != null) {
-      stepWork.acknowledge(cursor);
+    StepProgress stepProgress = progressByStep.get(step);
+    if (stepProgress != null) {
+      stepProgress.acknowledge(cursor);
     }
   }
 
-  /** Open steps so far behind the one that is pulled that the trainer must be done with them. */
+  /** Returns open steps so far behind the pulled one that the trainer no longer needs them. */
   public List<Long> abandonedSteps() {
-    return work.keySet().stream().filter(step -> step < pulledStep - MOST_STEPS_BEHIND).toList();
+    return progressByStep.keySet().stream()
+        .filter(step -> step < pulledStep - MAX_STEPS_BEHIND)
+        .toList();
   }
 
-  /** Version that the trainer will be at when it takes a step's samples, as far as can be told. */
+  /** Returns the weight version that the trainer is expected to have when it pulls a step. */
   private long expectedVersionAt(long step) {
     long expected =
-        pulledStep == NONE
+        pulledStep == NO_STEP
             ? state.expectedVersionAt(step)
             : versionAtPull + Math.max(0, step - pulledStep);
     return Math.max(trainerVersion, expected);
   }
 
-  private boolean isOverAge(StepWork step, long oldestVersion) {
-    long expected = expectedVersionAt(step.number());
+  private boolean exceedsStalenessBound(StepProgress step, long oldestVersion) {
+    long expected = expectedVersionAt(step.stepNumber());
     return oldestVersion != Long.MAX_VALUE && expected - oldestVersion > settings.stalenessBound();
   }
 
-  private static long oldestVersion(SlotWork slot) {
+  private static long oldestVersion(SlotProgress slot) {
     return slot.segments.stream().mapToLong(Segment::version).min().orElse(Long.MAX_VALUE);
   }
 
-  private void discard(SlotWork slot) {
+  private void discard(SlotProgress slot) {
     discardedTokens += slot.segments.stream().mapToInt(segment -> segment.tokens().length).sum();
     slot.reset();
   }
 
-  private Optional<SlotWork> running(AttemptId attempt) {
-    return find(attempt, SlotWork.Phase.GENERATING);
+  private Optional<SlotProgress> findGenerating(AttemptId attempt) {
+    return find(attempt, SlotProgress.Phase.GENERATING);
   }
 
-  private Optional<SlotWork> find(AttemptId attempt, SlotWork.Phase phase) {
-    StepWork step = work.get(attempt.step());
+  private Optional<SlotProgress> find(AttemptId attempt, SlotProgress.Phase phase) {
+    StepProgress step = progressByStep.get(attempt.step());
     if (step == null || attempt.epoch() != epoch) {
       return Optional.empty();
     }
-    SlotWork slot = step.slots.get(attempt.slot());
+    SlotProgress slot = step.slots.get(attempt.slot());
     return slot.attempt == attempt.attempt() && slot.phase == phase
         ? Optional.of(slot)
         : Optional.empty();
--- a/core/src/main/java/org/passhaven/core/run/RunSnapshot.java
+++ b/core/src/main/java/org/passhaven/core/run/RunSnapshot.java
@@ -7,8 +7,8 @@
 import org.passhaven.protocol.Prompt;
 
 /**
- * Encodable image of a {@link RunState}; the same prefix of the stream gives the same image at
- * every node.
+ * Serializable snapshot of a {@link RunState}. Every node derives the same snapshot from the same
+ * prefix of the stream.
  */
 public record RunSnapshot(
     List<Writer> writers,
@@ -22,9 +22,9 @@
     long lastFinished,
     long versionAtFinish,
     List<Step> steps) {
-  /** Position of one writer. */
+  /** Newest applied record of one writer. */
   public record Writer(NodeId node, WriterPositions.Position position) {}
 
-  /** One open step. */
+  /** Plan and commits of one open step. */
   public record Step(long step, List<Prompt> prompts, int samplesPerPrompt, List<Commit> commits) {}
 }
--- a/core/src/main/java/org/passhaven/core/run/RunState.java
+++ b/core/src/main/java/org/passhaven/core/run/RunState.java
@@ -13,20 +13,21 @@
 import org.passhaven.protocol.NodeId;
 
 /**
- * Fold of one shard's stream: lease, plan and delivery positions. The lease lives in the stream
- * that it protects, so the order of the log decides between a holder and its successor: a record
- * under a stale epoch is ignored by every reader in the same way. Not thread-safe.
+ * Replicated state of one shard, built by applying the records of its stream: lease, submitted
+ * steps and positions of samples. The lease is in the stream that it protects, so the order of the
+ * log decides between a holder and its successor: every reader ignores records of a stale epoch.
+ * Not thread-safe.
  */
 public final class RunState {
-  /** What folding one record did. */
+  /** Effect of applying one record. */
   public enum Effect {
-    /** A copy, a stale epoch or a broken rule: ignored. */
+    /** The record was a duplicate, of a stale epoch or invalid. */
     IGNORED,
-    /** A claim succeeded. */
+    /** A node claimed the lease. */
     CLAIMED,
-    /** The holder's lease was given back. */
+    /** The holder released the lease. */
     RELEASED,
-    /** Another record of the current epoch took effect. */
+    /** Another record of the current epoch was applied. */
     APPLIED
   }
 
@@ -43,7 +44,7 @@
   private long lastFinished = NONE;
   private long versionAtFinish;
 
-  /** Folds one record. */
+  /** Applies one record. */
   public Effect apply(LogEntry entry) {
     if (!writers.accept(entry.id())) {
       return Effect.IGNORED;
@@ -65,8 +66,8 @@
       return Effect.IGNORED;
     }
     epoch = claim.epoch();
-    // Who wrote the claim holds the lease, whatever the claim says: records are checked by their
-    // writer.
+    // The writer of the claim holds the lease, even if the claim names another node, since later
+    // records are checked by their writer.
     owner = writer;
     ownerAddress = claim.ownerAddress();
     released = false;
@@ -119,54 +120,54 @@
     }
   }
 
-  /** Epoch of the newest valid claim; zero before any. */
+  /** Returns the epoch of the newest valid claim; zero before the first. */
   public long epoch() {
     return epoch;
   }
 
-  /** Holder of the newest valid claim; null before any. */
+  /** Returns the node that wrote the newest valid claim; null before the first. */
   public NodeId owner() {
     return owner;
   }
 
-  /** Peer address of the holder; empty before any. */
+  /** Returns the peer address of the lease holder; empty before the first claim. */
   public String ownerAddress() {
     return ownerAddress;
   }
 
-  /** Whether the holder gave the lease back. */
+  /** Returns whether the holder released the lease. */
   public boolean released() {
     return released;
   }
 
-  /** Newest weight version that the trainer stated durably. */
+  /** Returns the newest weight version of the trainer that is in the log. */
   public long trainerVersion() {
     return trainerVersion;
   }
 
-  /** Whether the run takes no more steps. */
+  /** Returns whether the run has ended and accepts no more steps. */
   public boolean ended() {
     return ended;
   }
 
-  /** Open steps in order. */
+  /** Returns the open steps in order of their numbers. */
   public Collection<StepState> steps() {
     return steps.values();
   }
 
-  /** An open step; null if it is unknown or finished. */
+  /** Returns an open step; null if it is unknown or finished. */
   public StepState step(long step) {
     return steps.get(step);
   }
 
-  /** Whether a step was submitted, be it finished or not. */
+  /** Returns whether a step was submitted, including finished steps. */
   public boolean wasSubmitted(long step) {
     return step <= lastSubmitted;
   }
 
   /**
-   * Weight version that the trainer is expected to be at when it takes the samples of {@code step}:
-   * one more for each step after the last finished one.
+   * Returns the weight version that the trainer is expected to have when it pulls the samples of
+   * {@code step}: it increases by one with each step after the last finished one.
    */
   public long expectedVersionAt(long step) {
     if (lastFinished != NONE) {
@@ -176,7 +177,7 @@
     return trainerVersion + Math.max(0, step - first);
   }
 
-  /** Image for a snapshot. */
+  /** Returns a snapshot of this state. */
   public RunSnapshot toSnapshot() {
     return new RunSnapshot(
         writers.toMap().entrySet().stream()
@@ -197,7 +198,7 @@
             .toList());
   }
 
-  /** State restored from a snapshot. */
+  /** Restores a state from a snapshot. */
   public static RunState fromSnapshot(RunSnapshot snapshot) {
     Objects.requireNonNull(snapshot, "snapshot");
     RunState state = new RunState();
--- a/core/src/main/java/org/passhaven/core/run/SampleDigest.java
+++ b/core/src/main/java/org/passhaven/core/run/SampleDigest.java
@@ -4,11 +4,11 @@
 import org.passhaven.protocol.Sample;
 import org.passhaven.protocol.Segment;
 
-/** Digest of a sample's tokens, kept in its commit record. */
+/** Computes the digest of a sample's tokens, which its commit record stores. */
 public final class SampleDigest {
   private SampleDigest() {}
 
-  /** Digest of all tokens in order. */
+  /** Returns the digest of all tokens in order. */
   public static long of(Sample sample) {
     long digest = sample.tokenCount();
     for (Segment segment : sample.segments()) {
--- a/core/src/main/java/org/passhaven/core/run/SlotProgress.java
+++ b/core/src/main/java/org/passhaven/core/run/SlotProgress.java
@@ -6,32 +6,32 @@
 import org.passhaven.protocol.Segment;
 import org.passhaven.protocol.ServerId;
 
-/** What the owner holds in memory of one slot. */
-final class SlotWork {
-  /** Where the slot is on its way from plan to acknowledgement. */
+/** In-memory progress of one slot at the shard's owner. Not thread-safe. */
+final class SlotProgress {
+  /** Phases of a slot, from planning to acknowledgement. */
   enum Phase {
-    /** To be generated when an engine has room. */
+    /** Waits for a free engine. */
     PLANNED,
-    /** An engine generates it. */
+    /** An engine generates the sample. */
     GENERATING,
-    /** A scorer has it. */
+    /** A scorer rates the sample. */
     SCORING,
-    /** Whole, to be committed. */
+    /** The sample is complete and can be committed. */
     READY,
-    /** Its commit was sent and not yet read back. */
+    /** The commit was sent and not yet read back from the log. */
     COMMITTING,
-    /** Its commit was read back; it may be handed over. */
+    /** The commit was read back; the sample can be delivered. */
     COMMITTED,
     /**
-     * Committed by an earlier owner, content not here: generated again only if the trainer lacks
-     * it.
+     * An earlier owner committed the sample and its content was lost with it. It is regenerated
+     * only if the trainer has not acknowledged it.
      */
-    LOST,
-    /** The trainer keeps it. */
+    CONTENT_LOST,
+    /** The trainer has received the sample. */
     ACKNOWLEDGED
   }
 
-  final int slot;
+  final int index;
   Phase phase = Phase.PLANNED;
   int attempt;
   int position = -1;
@@ -39,21 +39,21 @@
   final List<Segment> segments = new ArrayList<>();
   Sample sample;
 
-  SlotWork(int slot) {
-    this.slot = slot;
+  SlotProgress(int slot) {
+    this.index = slot;
   }
 
   AttemptId attemptId(long epoch, long step) {
-    return new AttemptId(epoch, step, slot, attempt);
+    return new AttemptId(epoch, step, index, attempt);
   }
 
-  void begin(ServerId chosen) {
+  void startAttempt(ServerId chosenEngine) {
     attempt++;
-    engine = chosen;
+    engine = chosenEngine;
     phase = Phase.GENERATING;
   }
 
-  /** Adds tokens, joined to the last segment if engine, incarnation and version are the same. */
+  /** Appends tokens, extending the last segment if engine, incarnation and version are equal. */
   void append(Segment added) {
     int last = segments.size() - 1;
     if (last >= 0 && isContinuation(segments.get(last), added)) {
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Throws the content away and plans the slot anew; its position, if any, stays. */
+  /** Discards the content and plans the slot again; it keeps its position, if it has one. */
   void reset() {
     segments.clear();
     sample = null;
--- a/core/src/main/java/org/passhaven/core/run/StepState.java
+++ b/core/src/main/java/org/passhaven/core/run/StepState.java
@@ -7,17 +7,17 @@
 import org.passhaven.protocol.Prompt;
 
 /**
- * One submitted step of a shard as folded from its stream: its plan and the slots bound to
- * positions.
+ * Replicated state of one submitted step of a shard: its prompts and the positions of its committed
+ * samples. Not thread-safe.
  *
- * <p>Invariant: positions are dense from zero and each slot has at most one position.
+ * <p>Invariant: positions are contiguous from zero and each slot has at most one position.
  */
 public final class StepState {
-  private static final int UNBOUND = -1;
+  private static final int NO_POSITION = -1;
   private final long step;
   private final List<Prompt> prompts;
   private final int samplesPerPrompt;
-  private final List<Commit> byPosition = new ArrayList<>();
+  private final List<Commit> commitsByPosition = new ArrayList<>();
   private final int[] positionOfSlot;
 
   StepState(long step, List<Prompt> prompts, int samplesPerPrompt) {
@@ -25,77 +25,78 @@
     this.prompts = List.copyOf(prompts);
     this.samplesPerPrompt = samplesPerPrompt;
     this.positionOfSlot = new int[prompts.size() * samplesPerPrompt];
-    Arrays.fill(positionOfSlot, UNBOUND);
+    Arrays.fill(positionOfSlot, NO_POSITION);
   }
 
-  /** Step number. */
+  /** Returns the step number. */
   public long step() {
     return step;
   }
 
-  /** Prompts of this shard's part of the step. */
+  /** Returns the prompts of this shard's part of the step. */
   public List<Prompt> prompts() {
     return prompts;
   }
 
-  /** Samples for each prompt. */
+  /** Returns the number of samples for each prompt. */
   public int samplesPerPrompt() {
     return samplesPerPrompt;
   }
 
-  /** Number of samples of the step in this shard. */
+  /** Returns the number of samples of the step in this shard. */
   public int slotCount() {
     return positionOfSlot.length;
   }
 
-  /** Prompt of a slot. */
+  /** Returns the prompt of a slot. */
   public Prompt promptOf(int slot) {
     return prompts.get(slot / samplesPerPrompt);
   }
 
-  /** Place of a slot among the samples of its prompt. */
+  /** Returns the index of a slot among the samples of its prompt. */
   public int sampleIndexOf(int slot) {
     return slot % samplesPerPrompt;
   }
 
-  /** Position that the next new commit takes. */
+  /** Returns the position of the next new commit. */
   public int nextPosition() {
-    return byPosition.size();
+    return commitsByPosition.size();
   }
 
-  /** Newest commit at a position. */
+  /** Returns the newest commit at a position. */
   public Commit commitAt(int position) {
-    return byPosition.get(position);
+    return commitsByPosition.get(position);
   }
 
-  /** Position of a slot; negative if it has none. */
+  /** Returns the position of a slot; negative if it has none. */
   public int positionOf(int slot) {
     return positionOfSlot[slot];
   }
 
-  /** All commits in order of position. */
+  /** Returns all commits in order of position. */
   public List<Commit> commits() {
-    return List.copyOf(byPosition);
+    return List.copyOf(commitsByPosition);
   }
 
-  /** Folds a commit; returns false, and changes nothing, if it would break the invariant. */
+  /** Applies a commit; returns false and changes nothing if it would violate the invariant. */
   boolean apply(Commit commit) {
     if (commit.slot() < 0 || commit.slot() >= positionOfSlot.length) {
       return false;
     }
-    int bound = positionOfSlot[commit.slot()];
-    if (bound == UNBOUND) {
-      if (commit.position() != byPosition.size()) {
+    int position = positionOfSlot[commit.slot()];
+    if (position == NO_POSITION) {
+      if (commit.position() != commitsByPosition.size()) {
         return false;
       }
-      byPosition.add(commit);
+      commitsByPosition.add(commit);
       positionOfSlot[commit.slot()] = (int) commit.position();
       return true;
     }
-    if (bound != commit.position() || commit.attempt() <= byPosition.get(bound).attempt()) {
+    if (position != commit.position()
+        || commit.attempt() <= commitsByPosition.get(position).attempt()) {
       return false;
     }
-    byPosition.set(bound, commit);
+    commitsByPosition.set(position, commit);
     return true;
   }
 }
--- a/core/src/main/java/org/passhaven/core/run/package-info.java
+++ b/core/src/main/java/org/passhaven/core/run/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Life of a trainer's steps and samples: the fold of a shard's stream and its owner's decisions.
+ * Steps and samples of a trainer's run: replicated state of a shard and scheduling by its owner.
  */
 package org.passhaven.core.run;
--- a/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
+++ b/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
@@ -20,24 +20,28 @@
 import org.passhaven.protocol.Segment;
 import org.passhaven.protocol.ServerId;
 
+/** Guards against samples that are delivered uncommitted, too stale or twice. */
 class RunCoordinatorTest {
   private static final NodeId SELF = new NodeId("self");
-  private static final int BOUND = 1;
+  private static final int STALENESS_BOUND = 1;
   private final RunState state = new RunState();
   private long sequence;
   private long now;
 
-  private void fold(LogRecord record) {
+  private void apply(LogRecord record) {
     state.apply(new LogEntry(new RecordId(SELF, 1, ++sequence), record));
   }
 
   private RunCoordinator coordinator(TrainerSettings.Objective objective, int steps, int samples) {
-    fold(new LogRecord.LeaseClaimed(1, SELF, "self:1", 6_000));
+    apply(new LogRecord.LeaseClaimed(1, SELF, "self:1", 6_000));
     for (int step = 0; step < steps; step++) {
-      fold(new LogRecord.StepSubmitted(1, step, List.of(new Prompt(0, "p" + step, 1)), samples));
+      apply(new LogRecord.StepSubmitted(1, step, List.of(new Prompt(0, "p" + step, 1)), samples));
     }
     return new RunCoordinator(
-        state, 1, new TrainerSettings("m", BOUND, 1, 0, objective, ""), DispatchPolicy.DEFAULT);
+        state,
+        1,
+        new TrainerSettings("m", STALENESS_BOUND, 1, 0, objective, ""),
+        DispatchPolicy.DEFAULT);
   }
 
   private static EngineView engine(String id, long version, int capacity, int load) {
@@ -54,11 +58,11 @@
   }
 
   private void commitAll(RunCoordinator coordinator) {
-    coordinator.commitReady().ifPresent(this::fold);
+    coordinator.commitReady().ifPresent(this::apply);
     coordinator.onFolded();
   }
 
-  private AttemptId finishOne(RunCoordinator coordinator, EngineView engine, long version) {
+  private AttemptId generateOne(RunCoordinator coordinator, EngineView engine, long version) {
     AttemptId attempt = generate(coordinator.dispatch(List.of(engine), "z", now).get(0)).attempt();
     coordinator.onSegment(attempt, tokens(engine.id().value(), version, 1, 2));
     coordinator.onGenerated(attempt);
@@ -66,20 +70,20 @@
   }
 
   @Test
-  void sampleIsHandedOverOnlyAfterItsCommitWasReadBack() {
+  void sampleIsDeliveredOnlyAfterItsCommitIsReadBack() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
-    finishOne(coordinator, engine("e", 0, 4, 0), 0);
+    generateOne(coordinator, engine("e", 0, 4, 0), 0);
     LogRecord commit = coordinator.commitReady().orElseThrow();
     assertThat(coordinator.pull(0, 0, 10), empty());
-    fold(commit);
+    apply(commit);
     coordinator.onFolded();
     assertThat(coordinator.pull(0, 0, 10), hasSize(1));
   }
 
   @Test
-  void sameCursorGivesTheSameSamples() {
+  void repeatedPullReturnsTheSameSamples() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 2);
-    finishOne(coordinator, engine("e", 0, 1, 0), 0);
+    generateOne(coordinator, engine("e", 0, 1, 0), 0);
     commitAll(coordinator);
     List<Sample> first = coordinator.pull(0, 0, 10);
     assertThat(coordinator.pull(0, 0, 10), equalTo(first));
@@ -87,13 +91,13 @@
   }
 
   @Test
-  void overAgeSampleIsNotHandedOverAndComesAgainAtItsPosition() {
+  void staleSampleIsRegeneratedAtTheSamePosition() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
-    finishOne(coordinator, engine("e", 0, 4, 0), 0);
+    generateOne(coordinator, engine("e", 0, 4, 0), 0);
     commitAll(coordinator);
-    coordinator.onTrainerVersion(BOUND + 1L, now);
+    coordinator.onTrainerVersion(STALENESS_BOUND + 1L, now);
     assertThat(coordinator.pull(0, 0, 10), empty());
-    finishOne(coordinator, engine("e", 2, 4, 0), 2);
+    generateOne(coordinator, engine("e", 2, 4, 0), 2);
     commitAll(coordinator);
     List<Sample> samples = coordinator.pull(0, 0, 10);
     assertThat(samples, hasSize(1));
@@ -102,7 +106,7 @@
   }
 
   @Test
-  void swapInMidGenerationGivesTwoSegments() {
+  void weightSwapDuringGenerationCreatesTwoSegments() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
     AttemptId attempt =
         generate(coordinator.dispatch(List.of(engine("e", 0, 4, 0)), "z", now).get(0)).attempt();
@@ -118,65 +122,68 @@
   }
 
   @Test
-  void tokensBeforeACrashAreContinuedElsewhere() {
+  void anotherEngineContinuesTheTokensOfAFailedAttempt() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
     AttemptId attempt =
         generate(coordinator.dispatch(List.of(engine("e", 0, 4, 0)), "z", now).get(0)).attempt();
     coordinator.onSegment(attempt, tokens("e", 0, 7, 8));
     coordinator.onFailed(attempt, true);
-    RunAction.Generate again =
+    RunAction.Generate retry =
         generate(coordinator.dispatch(List.of(engine("f", 0, 4, 0)), "z", now).get(0));
-    assertThat(again.prefix().get(0).tokens(), equalTo(new int[] {7, 8}));
+    assertThat(retry.prefix().get(0).tokens(), equalTo(new int[] {7, 8}));
     assertThat(
-        "late tokens of the first attempt are refused",
+        "late tokens of the first attempt are rejected",
         !coordinator.onSegment(attempt, tokens("e", 0, 9)));
   }
 
   @Test
-  void successorRegeneratesOnlyWhatTheTrainerLacks() {
+  void newOwnerRegeneratesOnlyUnacknowledgedSamples() {
     coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 3);
-    fold(
+    apply(
         new LogRecord.SamplesCommitted(
             1,
             0,
             List.of(
                 new LogRecord.Commit(0, 2, 1, 0, 0, 0), new LogRecord.Commit(1, 0, 1, 0, 0, 0))));
-    RunCoordinator successor =
+    RunCoordinator newOwner =
         new RunCoordinator(
             state,
             1,
-            new TrainerSettings("m", BOUND, 1, 0, TrainerSettings.Objective.IDLE_TIME, ""),
+            new TrainerSettings(
+                "m", STALENESS_BOUND, 1, 0, TrainerSettings.Objective.IDLE_TIME, ""),
             DispatchPolicy.DEFAULT);
-    List<RunAction> first = successor.dispatch(List.of(engine("e", 0, 8, 0)), "z", now);
+    List<RunAction> first = newOwner.dispatch(List.of(engine("e", 0, 8, 0)), "z", now);
     assertThat("only the slot without a position", first, hasSize(1));
     assertThat(generate(first.get(0)).attempt().slot(), equalTo(1));
-    successor.onPull(0, 1);
-    List<RunAction> second = successor.dispatch(List.of(engine("e", 0, 8, 0)), "z", now);
+    newOwner.onPull(0, 1);
+    List<RunAction> second = newOwner.dispatch(List.of(engine("e", 0, 8, 0)), "z", now);
     assertThat(second, hasSize(1));
     assertThat(generate(second.get(0)).attempt().slot(), equalTo(0));
   }
 
   @Test
-  void laterStepsStayOffEnginesThatTheTrainerWaitsFor() {
+  void laterStepsAvoidEnginesThatRunAwaitedSamples() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 2, 1);
     coordinator.onPull(0, 0);
     List<RunAction> actions = coordinator.dispatch(List.of(engine("e", 0, 8, 0)), "z", now);
     assertThat(actions, hasSize(2));
-    RunCoordinator other = coordinator;
-    assertThat(other.enginesOfPulledStep().size(), equalTo(1));
-    fold(new LogRecord.StepSubmitted(1, 2, List.of(new Prompt(0, "p2", 1)), 1));
-    other.onFolded();
-    other.onTrainerVersion(1, -10_000);
+    RunCoordinator coordinatorAtStepTwo = coordinator;
+    assertThat(coordinatorAtStepTwo.enginesOfPulledStep().size(), equalTo(1));
+    apply(new LogRecord.StepSubmitted(1, 2, List.of(new Prompt(0, "p2", 1)), 1));
+    coordinatorAtStepTwo.onFolded();
+    coordinatorAtStepTwo.onTrainerVersion(1, -10_000);
     assertThat(
         "the only engine runs an awaited sample",
-        other.dispatch(List.of(engine("e", 1, 8, 2)), "z", now),
+        coordinatorAtStepTwo.dispatch(List.of(engine("e", 1, 8, 2)), "z", now),
         empty());
     assertThat(
-        other.dispatch(List.of(engine("e", 1, 8, 2), engine("f", 1, 8, 0)), "z", now), hasSize(1));
+        coordinatorAtStepTwo.dispatch(
+            List.of(engine("e", 1, 8, 2), engine("f", 1, 8, 0)), "z", now),
+        hasSize(1));
   }
 
   @Test
-  void trainerThatWeighsStalenessWaitsForWeights() {
+  void stalenessObjectiveWaitsForNewWeights() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.STALENESS, 2, 1);
     coordinator.onPull(0, 0);
     assertThat(
@@ -190,22 +197,22 @@
   }
 
   @Test
-  void generationThatWouldBeOverAgeIsCancelled() {
+  void generationThatWouldBeTooStaleIsCancelled() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
     AttemptId attempt =
         generate(coordinator.dispatch(List.of(engine("e", 0, 4, 0)), "z", now).get(0)).attempt();
     coordinator.onSegment(attempt, tokens("e", 0, 1));
-    coordinator.onTrainerVersion(BOUND + 1L, now);
+    coordinator.onTrainerVersion(STALENESS_BOUND + 1L, now);
     assertThat(coordinator.cancelOverAge(), equalTo(List.of(new RunAction.Cancel(attempt))));
     assertThat(coordinator.discardedTokens(), equalTo(1L));
   }
 
   @Test
-  void lowerBoundHoldsForSamplesThatAreAlreadyCommitted() {
+  void loweredStalenessBoundAppliesToCommittedSamples() {
     RunCoordinator coordinator = coordinator(TrainerSettings.Objective.IDLE_TIME, 1, 1);
-    finishOne(coordinator, engine("e", 0, 4, 0), 0);
+    generateOne(coordinator, engine("e", 0, 4, 0), 0);
     commitAll(coordinator);
-    coordinator.onTrainerVersion(BOUND, now);
+    coordinator.onTrainerVersion(STALENESS_BOUND, now);
     assertThat(coordinator.pull(0, 0, 10), hasSize(1));
     coordinator.setSettings(
         new TrainerSettings("m", 0, 1, 0, TrainerSettings.Objective.IDLE_TIME, ""));
--- a/core/src/test/java/org/passhaven/core/run/RunStateTest.java
+++ b/core/src/test/java/org/passhaven/core/run/RunStateTest.java
@@ -17,6 +17,7 @@
 import org.passhaven.protocol.Prompt;
 import org.passhaven.protocol.RecordId;
 
+/** Guards against replicas of a shard's state that differ or accept records of a stale epoch. */
 class RunStateTest {
   private static final NodeId A = new NodeId("a");
   private static final NodeId B = new NodeId("b");
@@ -41,7 +42,7 @@
         epoch, STEP, List.of(new Commit(position, slot, attempt, 0, 0, 0)));
   }
 
-  private RunState started() {
+  private RunState startedRun() {
     RunState state = new RunState();
     state.apply(entry(A, claim(1, A)));
     state.apply(entry(A, step(1)));
@@ -57,24 +58,24 @@
   }
 
   @Test
-  void recordUnderAStaleEpochIsIgnored() {
-    RunState state = started();
+  void recordOfAStaleEpochIsIgnored() {
+    RunState state = startedRun();
     state.apply(entry(B, claim(2, B)));
     assertThat(state.apply(entry(A, commit(1, 0, 0, 1))), equalTo(RunState.Effect.IGNORED));
     assertThat(state.step(STEP).nextPosition(), equalTo(0));
   }
 
   @Test
-  void copyOfARecordIsIgnored() {
-    RunState state = started();
-    LogEntry once = entry(A, commit(1, 0, 2, 1));
-    assertThat(state.apply(once), equalTo(RunState.Effect.APPLIED));
-    assertThat(state.apply(once), equalTo(RunState.Effect.IGNORED));
+  void duplicateRecordIsIgnored() {
+    RunState state = startedRun();
+    LogEntry original = entry(A, commit(1, 0, 2, 1));
+    assertThat(state.apply(original), equalTo(RunState.Effect.APPLIED));
+    assertThat(state.apply(original), equalTo(RunState.Effect.IGNORED));
   }
 
   @Test
-  void slotKeepsItsPositionWhenItIsGeneratedAgain() {
-    RunState state = started();
+  void regeneratedSlotKeepsItsPosition() {
+    RunState state = startedRun();
     state.apply(entry(A, commit(1, 0, 2, 1)));
     state.apply(entry(A, commit(1, 1, 2, 2)));
     assertThat("a second position for the slot", state.step(STEP).nextPosition(), equalTo(1));
@@ -83,16 +84,16 @@
   }
 
   @Test
-  void releasedLeaseTakesNoMoreRecords() {
-    RunState state = started();
+  void recordsAfterAReleaseAreIgnored() {
+    RunState state = startedRun();
     assertThat(
         state.apply(entry(A, new LogRecord.LeaseReleased(1))), equalTo(RunState.Effect.RELEASED));
     assertThat(state.apply(entry(A, commit(1, 0, 0, 1))), equalTo(RunState.Effect.IGNORED));
   }
 
   @Test
-  void submittedStepIsTakenOnce() {
-    RunState state = started();
+  void stepIsSubmittedOnlyOnce() {
+    RunState state = startedRun();
     state.apply(entry(A, commit(1, 0, 0, 1)));
     state.apply(entry(A, step(1)));
     assertThat(state.step(STEP).nextPosition(), equalTo(1));
@@ -103,46 +104,40 @@
   }
 
   @Test
-  void snapshotGivesTheSameStateAndIgnoresTheSameCopies() {
-    RunState state = started();
-    LogEntry once = entry(A, commit(1, 0, 3, 1));
-    state.apply(once);
-    byte[] image = Codec.encode(state.toSnapshot());
-    RunState restored = RunState.fromSnapshot(Codec.decode(image, RunSnapshot.class));
-    assertThat(restored.apply(once), equalTo(RunState.Effect.IGNORED));
+  void restoredSnapshotHasTheSameStateAndIgnoresTheSameDuplicates() {
+    RunState state = startedRun();
+    LogEntry original = entry(A, commit(1, 0, 3, 1));
+    state.apply(original);
+    byte[] encoded = Codec.encode(state.toSnapshot());
+    RunState restored = RunState.fromSnapshot(Codec.decode(encoded, RunSnapshot.class));
+    assertThat(restored.apply(original), equalTo(RunState.Effect.IGNORED));
     assertThat(restored.step(STEP).positionOf(3), equalTo(0));
     assertThat(restored.toSnapshot(), equalTo(state.toSnapshot()));
   }
 
-  /**
-   * The code's fold and the specification's give the same image for any log, so that they can't
-   * drift apart.
-   */
   @Test
-  void foldIsThatOfTheSpecification() {
+  void stateMatchesTheSpecificationForRandomLogs() {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20261202L);
     int commits = 0;
     for (int round = 0; round < 2_000; round++) {
-      RunState state = started();
-      SpecificationFold specification = new SpecificationFold();
+      RunState state = startedRun();
+      SpecificationModel specification = new SpecificationModel();
       specification.step(new LogEntry(new RecordId(A, 1, sequence - 1), claim(1, A)));
-      List<LogEntry> sent = new ArrayList<>();
+      List<LogEntry> sentEntries = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        LogEntry next =
-            !sent.isEmpty() && random.nextInt(4) == 0
-                ? sent.get(random.nextInt(sent.size()))
-                : entry(random.nextBoolean() ? A : B, draw(random));
-        sent.add(next);
-        // A writer has one batch in flight, so a copy never overtakes the writer's later records
-        // unseen.
-        state.apply(next);
-        specification.step(next);
+        LogEntry entry =
+            !sentEntries.isEmpty() && random.nextInt(4) == 0
+                ? sentEntries.get(random.nextInt(sentEntries.size()))
+                : entry(random.nextBoolean() ? A : B, randomRecord(random));
+        sentEntries.add(entry);
+        state.apply(entry);
+        specification.step(entry);
         commits += specification.bound.size();
         assertThat(state.epoch(), equalTo(specification.epoch));
         assertThat(state.owner(), equalTo(specification.owner));
         assertThat(
             state.step(STEP).commits().stream()
-                .map(c -> new SpecificationFold.Bound(c.slot(), c.attempt()))
+                .map(c -> new SpecificationModel.Bound(c.slot(), c.attempt()))
                 .toList(),
             equalTo(specification.bound));
       }
@@ -150,7 +145,7 @@
     assertThat("commits took effect", commits, greaterThan(1_000));
   }
 
-  private static LogRecord draw(UniformRandomProvider random) {
+  private static LogRecord randomRecord(UniformRandomProvider random) {
     int epoch = 1 + random.nextInt(3);
     return random.nextInt(4) == 0
         ? claim(epoch, random.nextBoolean() ? A : B)
--- a/core/src/test/java/org/passhaven/core/run/SpecificationModel.java
+++ b/core/src/test/java/org/passhaven/core/run/SpecificationModel.java
@@ -11,19 +11,19 @@
 import org.passhaven.protocol.RecordId;
 
 /**
- * The operator {@code Step} of spec/src/main/tla/Delivery.tla, word for word, for comparison with
- * the code.
+ * Direct translation of the operator {@code Step} in spec/src/main/tla/Delivery.tla, against which
+ * {@link RunState} is tested.
  */
-final class SpecificationFold {
+final class SpecificationModel {
   record Bound(int slot, int attempt) {}
 
   long epoch;
   NodeId owner;
   final List<Bound> bound = new ArrayList<>();
-  private final Set<RecordId> seen = new HashSet<>();
+  private final Set<RecordId> processed = new HashSet<>();
 
   void step(LogEntry entry) {
-    if (!seen.add(entry.id())) {
+    if (!processed.add(entry.id())) {
       return;
     }
     if (entry.record() instanceof LogRecord.LeaseClaimed claim) {
