--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -19,14 +19,14 @@
  */
 final class GenerationPicker {
   private static final double AFFINITY_GAIN_MILLIS = 60;
-  private static final double OTHER_ZONE_MILLIS = 15;
-  private static final double OVERDUE_WEIGHTS_MILLIS = 800;
+  private static final double OTHER_ZONE_COST_MILLIS = 15;
+  private static final double OVERDUE_WEIGHTS_COST_MILLIS = 800;
 
   /** What the last free slot of a server is worth to a longer text that may come. */
-  private static final double FULL_MILLIS = 600;
+  private static final double FULL_SERVER_COST_MILLIS = 600;
 
   /** Expected wait for a slot of a full server, for each generation that waits there. */
-  private static final double QUEUED_MILLIS = 200;
+  private static final double QUEUED_GENERATION_COST_MILLIS = 200;
 
   /**
    * Smallest ratio of two servers' lasting pauses for a move. Servers of one service differ by a
@@ -41,12 +41,12 @@
   private final String node;
   private final String zone;
   private final ServerView view;
-  private final LengthEstimate lengths;
-  private final Refusals refusals = new Refusals();
+  private final LengthEstimator lengths;
+  private final RefusalTracker refusals = new RefusalTracker();
   private final Map<String, ServerStart> serverByGroup = new LinkedHashMap<>();
   private ReadyServers servers = new ReadyServers(Set.of(), Map.of());
 
-  GenerationPicker(String node, String zone, ServerView view, LengthEstimate lengths) {
+  GenerationPicker(String node, String zone, ServerView view, LengthEstimator lengths) {
     this.node = Objects.requireNonNull(node, "node");
     this.zone = Objects.requireNonNull(zone, "zone");
     this.view = Objects.requireNonNull(view, "view");
@@ -61,9 +61,9 @@
   }
 
   /** The server for an item; empty if none has room and may serve it. */
-  Optional<ServerEntry> choose(ItemRun run, long nowMillis) {
-    return servers.of(run.job.policy.service()).stream()
-        .filter(server -> mayServe(run, server, nowMillis))
+  Optional<ServerEntry> choose(ItemExecution run, long nowMillis) {
+    return servers.of(run.jobExecution.policy.service()).stream()
+        .filter(server -> canServe(run, server, nowMillis))
         .min(
             Comparator.comparingDouble((ServerEntry server) -> cost(run, server, nowMillis))
                 .thenComparingLong(this::tieBreak)
@@ -72,11 +72,11 @@
 
   /** Differs by node, so that nodes that see the same free servers choose different ones. */
   private long tieBreak(ServerEntry server) {
-    return view.isShared() ? Rendezvous.weight(node, server.start().id()) : 0;
+    return view.hasPeerReports() ? Rendezvous.weight(node, server.start().id()) : 0;
   }
 
   /** A generation of a group began at a server, which now keeps the group's prompt. */
-  void onBegun(String group, ServerStart start) {
+  void rememberServerOfGroup(String group, ServerStart start) {
     serverByGroup.remove(group);
     serverByGroup.put(group, start);
     if (serverByGroup.size() > MAX_GROUPS) {
@@ -85,83 +85,89 @@
   }
 
   /** A generation was sent to its server. */
-  void onSent(ItemRun run) {
+  void onSent(ItemExecution run) {
     refusals.onSent(run.server, modelOf(run));
   }
 
   /** The server of a generation has begun it. */
-  void onTaken(ItemRun run) {
-    refusals.onTaken(run.server, modelOf(run), servers.newestOf(modelOf(run)));
+  void onAccepted(ItemExecution run) {
+    refusals.onAccepted(run.server, modelOf(run), servers.newestVersionOf(modelOf(run)));
   }
 
   /** The server of a generation refused it: it is full, or loads weights. */
-  void onRefused(ItemRun run, long nowMillis) {
+  void onRefused(ItemExecution run, long nowMillis) {
     String model = modelOf(run);
     ServerEntry server = servers.get(run.server);
     if (server != null) {
       refusals.onRefused(
-          run.server, model, server.versionOf(model), servers.lacking(server, model), nowMillis);
+          run.server,
+          model,
+          server.versionOf(model),
+          servers.missingVersion(server, model),
+          nowMillis);
     }
   }
 
   /** A generation that was sent waits for its server no longer, whatever came of it. */
-  void onAnswered(ItemRun run) {
-    refusals.onAnswered(run.server, modelOf(run));
+  void removePending(ItemExecution run) {
+    refusals.removePending(run.server, modelOf(run));
   }
 
   /** A server on which a generation would end so much sooner that it is worth to move it. */
-  Optional<ServerEntry> chooseFaster(ItemRun run, long nowMillis) {
-    double here = view.lastingPauseMillis(run.server);
+  Optional<ServerEntry> chooseFaster(ItemExecution run, long nowMillis) {
+    double here = view.sustainedIntervalMillis(run.server);
     double remaining = remainingEvents(run);
     if (here == 0) {
       return Optional.empty();
     }
     return choose(run, nowMillis)
         .filter(server -> !server.start().equals(run.server))
-        .filter(server -> isSettled(run, server))
-        .filter(server -> here >= MIN_MOVE_RATIO * view.lastingPauseMillis(server.start()))
+        .filter(server -> isNotLoading(run, server))
+        .filter(server -> here >= MIN_MOVE_RATIO * view.sustainedIntervalMillis(server.start()))
         .filter(
             server ->
-                remaining * (here - view.lastingPauseMillis(server.start()))
+                remaining * (here - view.sustainedIntervalMillis(server.start()))
                     >= MIN_MOVE_GAIN_MILLIS);
   }
 
   /** Whether a server neither loads weights, by all that is known, nor is about to. */
-  private boolean isSettled(ItemRun run, ServerEntry server) {
+  private boolean isNotLoading(ItemExecution run, ServerEntry server) {
     return !refusals.isRefusing(server, modelOf(run))
         && !servers.lacksNewestWeights(server, modelOf(run));
   }
 
-  private static String modelOf(ItemRun run) {
-    return run.job.job.submission().model();
+  private static String modelOf(ItemExecution run) {
+    return run.jobExecution.job.submission().model();
   }
 
-  private double remainingEvents(ItemRun run) {
+  private double remainingEvents(ItemExecution run) {
     return lengths.remainingEvents(run.item.expectedTokens(), run.text.lastEvent());
   }
 
-  private boolean mayServe(ItemRun run, ServerEntry server, long nowMillis) {
+  private boolean canServe(ItemExecution run, ServerEntry server, long nowMillis) {
     String model = modelOf(run);
     boolean versionFits =
-        model.isEmpty() || server.versionOf(model) >= run.job.job.submission().oldestVersion();
+        model.isEmpty()
+            || server.versionOf(model) >= run.jobExecution.job.submission().oldestVersion();
     return versionFits
-        && refusals.maySend(server, model, servers.aboutToLoad(server, model, nowMillis), nowMillis)
+        && refusals.maySend(
+            server, model, servers.versionToLoad(server, model, nowMillis), nowMillis)
         && !view.health().isAvoided(server.start(), nowMillis)
         && view.health().inProgress(server.start()) < Math.max(1, server.slots());
   }
 
   /** Expected time of the rest of a text at a server, and what else speaks against it. */
-  private double cost(ItemRun run, ServerEntry server, long nowMillis) {
+  private double cost(ItemExecution run, ServerEntry server, long nowMillis) {
     ServerStart start = server.start();
-    double cost = view.millisFor(remainingEvents(run), start) + loadCost(server);
+    double cost = view.expectedMillis(remainingEvents(run), start) + loadCost(server);
     if (start.equals(serverByGroup.get(run.item.group()))) {
       cost -= AFFINITY_GAIN_MILLIS;
     }
     if (!server.zone().equals(zone)) {
-      cost += OTHER_ZONE_MILLIS;
+      cost += OTHER_ZONE_COST_MILLIS;
     }
     if (servers.hasOverdueWeights(server, modelOf(run), nowMillis)) {
-      cost += OVERDUE_WEIGHTS_MILLIS;
+      cost += OVERDUE_WEIGHTS_COST_MILLIS;
     }
     return cost;
   }
@@ -172,8 +178,9 @@
    */
   private double loadCost(ServerEntry server) {
     int slots = Math.max(1, server.slots());
-    int taken = view.placesTaken(server.start());
+    int taken = view.occupiedSlots(server.start());
     int queued = Math.max(0, taken + 1 - slots);
-    return FULL_MILLIS * Math.min(slots, taken) / slots + QUEUED_MILLIS * queued;
+    return FULL_SERVER_COST_MILLIS * Math.min(slots, taken) / slots
+        + QUEUED_GENERATION_COST_MILLIS * queued;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemRun.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemExecution.java
@@ -5,7 +5,7 @@
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
 /** How far the runner is with one item. Not thread-safe. */
-final class ItemRun {
+final class ItemExecution {
   enum Phase {
     WAITING,
     GENERATING,
@@ -15,7 +15,7 @@
     DONE
   }
 
-  final JobWork job;
+  final JobExecution jobExecution;
   final JobItem item;
   Phase phase = Phase.WAITING;
   ItemText text = new ItemText();
@@ -23,36 +23,36 @@
   /** Events of the text that the log has, or that are on their way there. */
   private long savedEvents;
 
-  private boolean isSavedWhole;
+  private boolean isSavedAsComplete;
   long attempt;
 
   /** Whether the server of the attempt has begun it. */
-  boolean answered;
+  boolean accepted;
 
   ServerStart server = ServerStart.of("");
   long version;
-  long startedAt;
-  long progressAt;
-  long notBefore = Long.MIN_VALUE;
+  long startedAtMillis;
+  long lastProgressAtMillis;
+  long retryAtMillis = Long.MIN_VALUE;
   int serverErrors;
   int scoreErrors;
   int moves;
   int attempts;
-  long firstBegunAt;
-  long wholeAt;
+  long firstStartedAtMillis;
+  long textCompletedAtMillis;
 
-  ItemRun(JobWork job, JobItem item) {
-    this.job = job;
+  ItemExecution(JobExecution job, JobItem item) {
+    this.jobExecution = job;
     this.item = item;
   }
 
   ItemHistory history() {
     return new ItemHistory(
         item.group(),
-        job.job.submission().step(),
-        job.job.acceptedAtMillis(),
-        firstBegunAt,
-        wholeAt,
+        jobExecution.job.submission().step(),
+        jobExecution.job.acceptedAtMillis(),
+        firstStartedAtMillis,
+        textCompletedAtMillis,
         text.lastEvent(),
         attempts,
         moves,
@@ -60,20 +60,20 @@
   }
 
   /** An attempt begins at a server. */
-  void begin(long newAttempt, ServerStart at, long nowMillis) {
+  void startAttempt(long newAttempt, ServerStart at, long nowMillis) {
     phase = Phase.GENERATING;
     attempt = newAttempt;
     attempts++;
-    firstBegunAt = attempts == 1 ? nowMillis : firstBegunAt;
+    firstStartedAtMillis = attempts == 1 ? nowMillis : firstStartedAtMillis;
     server = at;
     version = 0;
-    startedAt = nowMillis;
-    progressAt = nowMillis;
-    answered = false;
+    startedAtMillis = nowMillis;
+    lastProgressAtMillis = nowMillis;
+    accepted = false;
   }
 
   /** Whether nothing but the score, or the record of the result, is missing. */
-  boolean hasWholeText() {
+  boolean hasCompleteText() {
     return phase == Phase.WAITING_FOR_SCORE || phase == Phase.SCORING || phase == Phase.FINISHING;
   }
 
@@ -85,7 +85,7 @@
   void setText(ItemText newText) {
     text = newText;
     savedEvents = 0;
-    isSavedWhole = false;
+    isSavedAsComplete = false;
   }
 
   /** Whether the log lacks something of the text, and may still be asked for it. */
@@ -93,21 +93,21 @@
     boolean isOpen = phase != Phase.DONE && phase != Phase.FINISHING;
     return isOpen
         && !text.isEmpty()
-        && (text.lastEvent() > savedEvents || hasWholeText() != isSavedWhole);
+        && (text.lastEvent() > savedEvents || hasCompleteText() != isSavedAsComplete);
   }
 
   /** What the log lacks of the text; counts as being there from now on. */
   TextPart takeUnsaved() {
-    boolean isWhole = hasWholeText();
-    TextPart part = text.partBehind(savedEvents, job.job.id(), item.id(), isWhole);
+    boolean isWhole = hasCompleteText();
+    TextPart part = text.partAfter(savedEvents, jobExecution.job.id(), item.id(), isWhole);
     savedEvents = text.lastEvent();
-    isSavedWhole = isWhole;
+    isSavedAsComplete = isWhole;
     return part;
   }
 
   /** The log may lack what lies behind an event. */
-  void onUnsaved(long afterEvent) {
+  void markUnsavedAfter(long afterEvent) {
     savedEvents = Math.min(savedEvents, afterEvent);
-    isSavedWhole = false;
+    isSavedAsComplete = false;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemOutcomes.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemFinisher.java
@@ -9,24 +9,24 @@
  * What becomes of items whose text is whole, or that are given up: scores are asked for, and
  * results given. Times in monotonic milliseconds. Not thread-safe.
  */
-final class ItemOutcomes {
-  private static final long SCORE_RETRY_MILLIS = 100;
+final class ItemFinisher {
+  private static final long SCORE_RETRY_DELAY_MILLIS = 100;
   private final RunningJobs jobs;
 
-  ItemOutcomes(RunningJobs jobs) {
+  ItemFinisher(RunningJobs jobs) {
     this.jobs = Objects.requireNonNull(jobs, "jobs");
   }
 
   /** Asks anew for the scores of a job that did not come and are due. */
-  void scoreAgain(JobWork work, long nowMillis, List<JobAction> actions) {
-    work.runs.values().stream()
-        .filter(run -> run.phase == ItemRun.Phase.WAITING_FOR_SCORE)
-        .filter(run -> run.notBefore <= nowMillis)
+  void retryScores(JobExecution work, long nowMillis, List<JobAction> actions) {
+    work.items.values().stream()
+        .filter(run -> run.phase == ItemExecution.Phase.WAITING_FOR_SCORE)
+        .filter(run -> run.retryAtMillis <= nowMillis)
         .forEach(run -> scoreOrFinish(run, actions));
   }
 
   /** An item's text is whole. */
-  void scoreOrFinish(ItemRun run, List<JobAction> actions) {
+  void scoreOrFinish(ItemExecution run, List<JobAction> actions) {
     if (run.item.score() == null) {
       finish(run, true, "", actions);
     } else {
@@ -34,15 +34,15 @@
     }
   }
 
-  private void score(ItemRun run, List<JobAction> actions) {
-    run.phase = ItemRun.Phase.SCORING;
-    actions.add(new JobAction.Score(run.job.job.submission(), run.item));
+  private void score(ItemExecution run, List<JobAction> actions) {
+    run.phase = ItemExecution.Phase.SCORING;
+    actions.add(new JobAction.Score(run.jobExecution.job.submission(), run.item));
   }
 
   /** The score of an item's text came. */
   List<JobAction> onScored(String job, String item, String score) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = scoring(job, item);
+    ItemExecution run = findScoring(job, item);
     if (run != null) {
       finish(run, true, score, actions);
     }
@@ -64,7 +64,7 @@
       long pauseMillis,
       long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = scoring(job, item);
+    ItemExecution run = findScoring(job, item);
     if (run == null) {
       return actions;
     }
@@ -72,23 +72,25 @@
     if (run.scoreErrors >= mostServerErrors) {
       finish(run, false, "", actions);
     } else {
-      run.phase = ItemRun.Phase.WAITING_FOR_SCORE;
-      run.notBefore = nowMillis + Math.max(SCORE_RETRY_MILLIS, pauseMillis);
+      run.phase = ItemExecution.Phase.WAITING_FOR_SCORE;
+      run.retryAtMillis = nowMillis + Math.max(SCORE_RETRY_DELAY_MILLIS, pauseMillis);
     }
     return actions;
   }
 
-  private ItemRun scoring(String job, String item) {
-    return jobs.item(job, item).filter(run -> run.phase == ItemRun.Phase.SCORING).orElse(null);
+  private ItemExecution findScoring(String job, String item) {
+    return jobs.item(job, item)
+        .filter(run -> run.phase == ItemExecution.Phase.SCORING)
+        .orElse(null);
   }
 
   /** An item gets its result, which is to be written. */
-  void finish(ItemRun run, boolean completed, String score, List<JobAction> actions) {
-    run.phase = ItemRun.Phase.FINISHING;
+  void finish(ItemExecution run, boolean completed, String score, List<JobAction> actions) {
+    run.phase = ItemExecution.Phase.FINISHING;
     actions.add(
         new JobAction.Finish(
             new ItemResult(
-                run.job.job.id(),
+                run.jobExecution.job.id(),
                 run.item.id(),
                 completed,
                 completed ? run.text.data() : "",
--- a/core/src/main/java/org/passhaven/core/job/ItemText.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemText.java
@@ -13,14 +13,14 @@
 public final class ItemText {
   private static final String SEPARATOR = "\n";
   private static final LongHashFunction HASH = LongHashFunction.xx3();
-  private static final long HASH_FACTOR = 0x9E3779B97F4A7C15L;
+  private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
   private final List<String> events = new ArrayList<>();
   private final List<Long> versionByEvent = new ArrayList<>();
 
   /** Hash of the text up to each event. */
   private final List<Long> hashByEvent = new ArrayList<>();
 
-  private boolean whole;
+  private boolean complete;
 
   /** Takes the next event; false if it is not the next one. */
   boolean append(long event, long version, String data) {
@@ -39,7 +39,7 @@
 
   /** Hash of a text of which the part before its last event has the hash {@code before}. */
   private static long hash(long before, String data, long version) {
-    return (before * HASH_FACTOR + version) * HASH_FACTOR + HASH.hashChars(data);
+    return (before * HASH_MULTIPLIER + version) * HASH_MULTIPLIER + HASH.hashChars(data);
   }
 
   private long hashUpTo(long event) {
@@ -50,7 +50,7 @@
    * Replaces what is known behind the part's first event; false if there is a gap before it, or
    * another text.
    */
-  boolean replaceBehind(TextPart part) {
+  boolean replaceAfter(TextPart part) {
     boolean isGap = part.afterEvent() > lastEvent() || part.afterEvent() < 0;
     if (isGap || hashUpTo(part.afterEvent()) != part.beforeHash()) {
       return false;
@@ -62,12 +62,12 @@
     for (int i = 0; i < part.events().size(); i++) {
       add(part.events().get(i), part.versions().get(i));
     }
-    whole = part.isWhole();
+    complete = part.isWhole();
     return true;
   }
 
   /** Events behind {@code afterEvent}, for the log. */
-  TextPart partBehind(long afterEvent, String job, String item, boolean isWhole) {
+  TextPart partAfter(long afterEvent, String job, String item, boolean isWhole) {
     int from = (int) afterEvent;
     return new TextPart(
         job,
@@ -93,7 +93,7 @@
       String data = part.events().get(event);
       long added = (long) data.length() + eventChars;
       if (event > from && chars + added > maxChars) {
-        pieces.add(piece(part, from, event, beforeHash));
+        pieces.add(slice(part, from, event, beforeHash));
         from = event;
         chars = 0;
         beforeHash = reachedHash;
@@ -101,11 +101,11 @@
       chars += added;
       reachedHash = hash(reachedHash, data, part.versions().get(event));
     }
-    pieces.add(piece(part, from, part.events().size(), beforeHash));
+    pieces.add(slice(part, from, part.events().size(), beforeHash));
     return pieces;
   }
 
-  private static TextPart piece(TextPart part, int from, int to, long beforeHash) {
+  private static TextPart slice(TextPart part, int from, int to, long beforeHash) {
     return new TextPart(
         part.job(),
         part.item(),
@@ -125,8 +125,8 @@
   }
 
   /** Whether the text was read from the log as complete. */
-  boolean isWhole() {
-    return whole;
+  boolean isComplete() {
+    return complete;
   }
 
   String data() {
@@ -139,7 +139,7 @@
   }
 
   /** Whether all of the text was made by allowed versions. */
-  boolean fits(long oldestVersion, boolean singleVersion) {
+  boolean usesAllowedVersions(long oldestVersion, boolean singleVersion) {
     if (isEmpty()) {
       return true;
     }
--- a/core/src/main/java/org/passhaven/core/job/Job.java
+++ b/core/src/main/java/org/passhaven/core/job/Job.java
@@ -16,7 +16,7 @@
   private final long acceptedAtMillis;
   private final Map<String, JobItem> items = new HashMap<>();
   private final List<ItemFinished> results = new ArrayList<>();
-  private final Map<String, Integer> positions = new HashMap<>();
+  private final Map<String, Integer> positionByItem = new HashMap<>();
   private boolean ended;
 
   Job(JobSubmission submission, long acceptedAtMillis) {
@@ -25,16 +25,16 @@
     submission.items().forEach(item -> items.putIfAbsent(item.id(), item));
   }
 
-  boolean list(ItemFinished result) {
-    if (!items.containsKey(result.item()) || positions.containsKey(result.item())) {
+  boolean addResult(ItemFinished result) {
+    if (!items.containsKey(result.item()) || positionByItem.containsKey(result.item())) {
       return false;
     }
-    positions.put(result.item(), results.size());
+    positionByItem.put(result.item(), results.size());
     results.add(result);
     return true;
   }
 
-  boolean end() {
+  boolean markEnded() {
     boolean first = !ended;
     ended = true;
     return first;
@@ -61,8 +61,8 @@
   }
 
   /** Whether an item has a result. */
-  public boolean isListed(String item) {
-    return positions.containsKey(item);
+  public boolean hasResult(String item) {
+    return positionByItem.containsKey(item);
   }
 
   /** An item of the job; null if there is none of that name. */
@@ -82,6 +82,6 @@
 
   /** Number of items that have no result. */
   public int openItems() {
-    return items.size() - positions.size();
+    return items.size() - positionByItem.size();
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -25,13 +25,13 @@
   /** Why a generation is stopped that has stalled. */
   public static final String STALLED = "stalled";
 
-  private static final int MOST_MOVES = 6;
-  private static final long MOVE_AFTER_MILLIS = 500;
-  private static final long FIRST_EVENT_MILLIS = 1_200;
-  private static final long NEXT_EVENT_MILLIS = 700;
-  private static final long STALL_AVOIDED_MILLIS = 600;
-  private static final long MISDIRECTED_AVOIDED_MILLIS = 1_000;
-  private static final long RETRY_MILLIS = 40;
+  private static final int MAX_MOVES = 6;
+  private static final long MIN_MILLIS_BEFORE_MOVE = 500;
+  private static final long FIRST_EVENT_TIMEOUT_MILLIS = 1_200;
+  private static final long NEXT_EVENT_TIMEOUT_MILLIS = 700;
+  private static final long STALLED_SERVER_AVOIDANCE_MILLIS = 600;
+  private static final long MISDIRECTED_SERVER_AVOIDANCE_MILLIS = 1_000;
+  private static final long RETRY_DELAY_MILLIS = 40;
 
   /** What is known of a generation that ended without its whole text. */
   public enum Failure {
@@ -50,12 +50,12 @@
   }
 
   private final RunningJobs jobs = new RunningJobs();
-  private final ItemOutcomes outcomes = new ItemOutcomes(jobs);
-  private final Map<Long, ItemRun> generating = new HashMap<>();
-  private final KeptTexts kept = new KeptTexts();
+  private final ItemFinisher finisher = new ItemFinisher(jobs);
+  private final Map<Long, ItemExecution> generating = new HashMap<>();
+  private final TextCache textCache = new TextCache();
   private final ServerView view = new ServerView();
   private final ServerHealth health = view.health();
-  private final LengthEstimate lengths = new LengthEstimate();
+  private final LengthEstimator lengths = new LengthEstimator();
   private final GenerationPicker picker;
   private final ItemGate gate;
   private long nextAttempt = 1;
@@ -83,12 +83,12 @@
 
   /** Whether this node runs a job and one of its items has no result yet. */
   public boolean isOpen(String job, String item) {
-    return jobs.item(job, item).filter(run -> run.phase != ItemRun.Phase.DONE).isPresent();
+    return jobs.item(job, item).filter(run -> run.phase != ItemExecution.Phase.DONE).isPresent();
   }
 
   /** How an item came to where it is; empty if its job does not run here. */
   public Optional<ItemHistory> historyOf(String job, String item) {
-    return jobs.item(job, item).map(ItemRun::history);
+    return jobs.item(job, item).map(ItemExecution::history);
   }
 
   /** Whether this node runs any job. */
@@ -107,16 +107,16 @@
    * @param texts what an earlier runner left in the log
    */
   public void take(Job job, JobPolicy policy, TextTable texts) {
-    JobWork known = jobs.get(job.id());
+    JobExecution known = jobs.get(job.id());
     if (known != null) {
       known.policy = policy;
       return;
     }
-    JobWork work = new JobWork(job, policy);
+    JobExecution work = new JobExecution(job, policy);
     jobs.put(work);
-    for (ItemRun run : work.runs.values()) {
-      kept.restore(run);
-      KeptTexts.adopt(run, texts);
+    for (ItemExecution run : work.items.values()) {
+      textCache.restore(run);
+      TextCache.restoreFromLog(run, texts);
     }
   }
 
@@ -131,24 +131,24 @@
   /** The log may not have taken parts that {@link #takeUnsavedTexts} gave. */
   public void onTextsNotSaved(List<TextPart> parts) {
     for (TextPart part : parts) {
-      jobs.item(part.job(), part.item()).ifPresent(run -> run.onUnsaved(part.afterEvent()));
+      jobs.item(part.job(), part.item()).ifPresent(run -> run.markUnsavedAfter(part.afterEvent()));
     }
   }
 
   /** Runs a job no longer: it was ended, or another node runs it. Its text so far is kept. */
   public List<JobAction> drop(String job, String why) {
     List<JobAction> actions = new ArrayList<>();
-    JobWork work = jobs.remove(job);
+    JobExecution work = jobs.remove(job);
     if (work == null) {
       return actions;
     }
-    for (ItemRun run : work.runs.values()) {
-      boolean whole = run.hasWholeText();
+    for (ItemExecution run : work.items.values()) {
+      boolean whole = run.hasCompleteText();
       stop(run, why, actions);
-      if (!run.text.isEmpty() && run.phase != ItemRun.Phase.DONE) {
-        kept.keep(run, whole);
+      if (!run.text.isEmpty() && run.phase != ItemExecution.Phase.DONE) {
+        textCache.put(run, whole);
       }
-      run.phase = ItemRun.Phase.DONE;
+      run.phase = ItemExecution.Phase.DONE;
     }
     return actions;
   }
@@ -156,11 +156,11 @@
   /** An item's result was read from the log, whoever wrote it. */
   public List<JobAction> onListed(String job, String item) {
     List<JobAction> actions = new ArrayList<>();
-    JobWork work = jobs.get(job);
-    ItemRun run = work == null ? null : work.runs.get(item);
+    JobExecution work = jobs.get(job);
+    ItemExecution run = work == null ? null : work.items.get(item);
     if (run != null) {
       stop(run, "listed", actions);
-      run.phase = ItemRun.Phase.DONE;
+      run.phase = ItemExecution.Phase.DONE;
       if (work.isDone()) {
         jobs.remove(job);
       }
@@ -168,20 +168,20 @@
     return actions;
   }
 
-  private void stop(ItemRun run, String why, List<JobAction> actions) {
-    if (run.phase == ItemRun.Phase.GENERATING) {
+  private void stop(ItemExecution run, String why, List<JobAction> actions) {
+    if (run.phase == ItemExecution.Phase.GENERATING) {
       actions.add(new JobAction.Stop(run.attempt, why));
-      leaveServer(run);
+      releaseServer(run);
     }
   }
 
-  private void leaveServer(ItemRun run) {
+  private void releaseServer(ItemExecution run) {
     generating.remove(run.attempt);
     health.onEnded(run.server);
-    if (!run.answered) {
-      picker.onAnswered(run);
+    if (!run.accepted) {
+      picker.removePending(run);
     }
-    run.phase = ItemRun.Phase.WAITING;
+    run.phase = ItemExecution.Phase.WAITING;
   }
 
   /**
@@ -194,98 +194,104 @@
     List<JobAction> actions = new ArrayList<>();
     ReadyServers ready = new ReadyServers(servers, newest);
     picker.beginRound(ready, nowMillis);
-    for (JobWork work : jobs.byUrgency()) {
-      giveUpOld(work, nowMillis, actions);
-      outcomes.scoreAgain(work, nowMillis, actions);
+    for (JobExecution work : jobs.byUrgency()) {
+      failExpiredItems(work, nowMillis, actions);
+      finisher.retryScores(work, nowMillis, actions);
       int priority = jobs.priorityOf(work);
-      for (ItemRun run : work.waiting(nowMillis)) {
+      for (ItemExecution run : work.itemsToStart(nowMillis)) {
         picker
             .choose(run, nowMillis)
             .filter(server -> mayBegin(run))
-            .ifPresent(server -> begin(run, server, priority, nowMillis, actions));
+            .ifPresent(server -> startGeneration(run, server, priority, nowMillis, actions));
       }
     }
-    for (ItemRun run : List.copyOf(generating.values())) {
-      moveIfHeldUp(run, nowMillis, actions);
+    for (ItemExecution run : List.copyOf(generating.values())) {
+      moveIfStalledOrSlow(run, nowMillis, actions);
     }
     return actions;
   }
 
-  private void giveUpOld(JobWork work, long nowMillis, List<JobAction> actions) {
+  private void failExpiredItems(JobExecution work, long nowMillis, List<JobAction> actions) {
     long limit = work.policy.giveUpMillis();
     if (limit <= 0 || nowMillis - work.job.acceptedAtMillis() < limit) {
       return;
     }
-    for (ItemRun run : work.runs.values()) {
-      if (run.phase == ItemRun.Phase.WAITING || run.phase == ItemRun.Phase.GENERATING) {
+    for (ItemExecution run : work.items.values()) {
+      if (run.phase == ItemExecution.Phase.WAITING || run.phase == ItemExecution.Phase.GENERATING) {
         stop(run, "too old", actions);
-        outcomes.finish(run, false, "", actions);
+        finisher.finish(run, false, "", actions);
       }
     }
   }
 
-  private boolean mayBegin(ItemRun run) {
-    return gate.mayBegin(run.job.job.submission(), run.item);
+  private boolean mayBegin(ItemExecution run) {
+    return gate.mayBegin(run.jobExecution.job.submission(), run.item);
   }
 
-  private void begin(
-      ItemRun run, ServerEntry server, int priority, long nowMillis, List<JobAction> actions) {
-    run.begin(nextAttempt++, server.start(), nowMillis);
+  private void startGeneration(
+      ItemExecution run,
+      ServerEntry server,
+      int priority,
+      long nowMillis,
+      List<JobAction> actions) {
+    run.startAttempt(nextAttempt++, server.start(), nowMillis);
     generating.put(run.attempt, run);
     health.onSent(server.start());
     picker.onSent(run);
-    picker.onBegun(run.item.group(), server.start());
+    picker.rememberServerOfGroup(run.item.group(), server.start());
     actions.add(
         new JobAction.Start(
             run.attempt,
             server,
-            run.job.job.submission(),
+            run.jobExecution.job.submission(),
             run.item,
             run.text.lastEvent(),
             priority));
   }
 
   /** Moves a generation that has stalled, or whose server is slow or leaves, if there is room. */
-  private void moveIfHeldUp(ItemRun run, long nowMillis, List<JobAction> actions) {
-    long patience = run.version == 0 ? FIRST_EVENT_MILLIS : NEXT_EVENT_MILLIS;
-    if (nowMillis - run.progressAt >= patience) {
-      health.avoid(run.server, STALL_AVOIDED_MILLIS, nowMillis);
+  private void moveIfStalledOrSlow(ItemExecution run, long nowMillis, List<JobAction> actions) {
+    long patience = run.version == 0 ? FIRST_EVENT_TIMEOUT_MILLIS : NEXT_EVENT_TIMEOUT_MILLIS;
+    if (nowMillis - run.lastProgressAtMillis >= patience) {
+      health.avoid(run.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
       stop(run, STALLED, actions);
       run.moves++;
       return;
     }
-    boolean settled = nowMillis - run.startedAt >= MOVE_AFTER_MILLIS;
-    if (!settled || run.moves >= MOST_MOVES) {
+    boolean settled = nowMillis - run.startedAtMillis >= MIN_MILLIS_BEFORE_MOVE;
+    if (!settled || run.moves >= MAX_MOVES) {
       return;
     }
     Optional<ServerEntry> better = picker.chooseFaster(run, nowMillis);
     if (better.isPresent() && mayBegin(run)) {
       stop(run, SLOW_SERVER, actions);
       run.moves++;
-      begin(run, better.get(), jobs.priorityOf(run.job), nowMillis, actions);
+      startGeneration(run, better.get(), jobs.priorityOf(run.jobExecution), nowMillis, actions);
     }
   }
 
   /** A server began a generation under a weight version; zero if it names none. */
   public List<JobAction> onBegan(long attempt, long version, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = generating.get(attempt);
-    if (run != null && !run.answered) {
-      run.answered = true;
-      picker.onTaken(run);
+    ItemExecution run = generating.get(attempt);
+    if (run != null && !run.accepted) {
+      run.accepted = true;
+      picker.onAccepted(run);
     }
     // A continuation behind the last event has nothing to name a version for.
     if (run != null && version != 0) {
-      onVersion(run, version, nowMillis, actions);
+      acceptVersion(run, version, nowMillis, actions);
     }
     return actions;
   }
 
-  private boolean onVersion(ItemRun run, long version, long nowMillis, List<JobAction> actions) {
+  private boolean acceptVersion(
+      ItemExecution run, long version, long nowMillis, List<JobAction> actions) {
     run.version = version;
-    boolean tooOld = version < run.job.job.submission().oldestVersion();
+    boolean tooOld = version < run.jobExecution.job.submission().oldestVersion();
     List<Long> made = run.text.versions();
-    boolean mixed = run.job.policy.singleVersion() && !made.isEmpty() && made.get(0) != version;
+    boolean mixed =
+        run.jobExecution.policy.singleVersion() && !made.isEmpty() && made.get(0) != version;
     if (!tooOld && !mixed) {
       return true;
     }
@@ -293,7 +299,7 @@
     if (mixed) {
       run.restartText();
     } else {
-      health.avoid(run.server, STALL_AVOIDED_MILLIS, nowMillis);
+      health.avoid(run.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
     }
     return false;
   }
@@ -302,11 +308,11 @@
   public List<JobAction> onEvent(
       long attempt, long event, long version, String data, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = generating.get(attempt);
+    ItemExecution run = generating.get(attempt);
     if (run == null) {
       return actions;
     }
-    if (version != 0 && !onVersion(run, version, nowMillis, actions)) {
+    if (version != 0 && !acceptVersion(run, version, nowMillis, actions)) {
       return actions;
     }
     if (run.version == 0) {
@@ -314,11 +320,11 @@
       health.onFailure(run.server, nowMillis);
       return actions;
     }
-    boolean first = run.progressAt == run.startedAt;
+    boolean first = run.lastProgressAtMillis == run.startedAtMillis;
     if (!first) {
-      view.pace().onPause(run.server, nowMillis - run.progressAt, nowMillis);
+      view.intervals().onInterval(run.server, nowMillis - run.lastProgressAtMillis, nowMillis);
     }
-    run.progressAt = nowMillis;
+    run.lastProgressAtMillis = nowMillis;
     if (!run.text.append(event, run.version, data)) {
       stop(run, "event out of order", actions);
       health.onFailure(run.server, nowMillis);
@@ -329,45 +335,45 @@
   /** A generation has ended with its whole text. */
   public List<JobAction> onWhole(long attempt, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = generating.get(attempt);
+    ItemExecution run = generating.get(attempt);
     if (run == null) {
       return actions;
     }
-    health.onSuccess(run.server, nowMillis - run.startedAt, nowMillis);
-    run.wholeAt = nowMillis;
-    lengths.onWhole(run.item.expectedTokens(), run.text.lastEvent());
-    leaveServer(run);
-    outcomes.scoreOrFinish(run, actions);
+    health.onSuccess(run.server, nowMillis - run.startedAtMillis, nowMillis);
+    run.textCompletedAtMillis = nowMillis;
+    lengths.onCompleted(run.item.expectedTokens(), run.text.lastEvent());
+    releaseServer(run);
+    finisher.scoreOrFinish(run, actions);
     return actions;
   }
 
   /** A generation has ended without its whole text. */
   public List<JobAction> onFailed(long attempt, Failure failure, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemRun run = generating.get(attempt);
+    ItemExecution run = generating.get(attempt);
     if (run == null) {
       return actions;
     }
-    leaveServer(run);
-    run.notBefore = nowMillis + RETRY_MILLIS;
+    releaseServer(run);
+    run.retryAtMillis = nowMillis + RETRY_DELAY_MILLIS;
     switch (failure) {
       case REFUSED -> picker.onRefused(run, nowMillis);
-      case MISDIRECTED -> health.avoid(run.server, MISDIRECTED_AVOIDED_MILLIS, nowMillis);
+      case MISDIRECTED -> health.avoid(run.server, MISDIRECTED_SERVER_AVOIDANCE_MILLIS, nowMillis);
       case CUT -> health.onFailure(run.server, nowMillis);
       case SERVER_ERROR -> run.serverErrors++;
-      case IMPOSSIBLE -> outcomes.finish(run, false, "", actions);
+      case IMPOSSIBLE -> finisher.finish(run, false, "", actions);
       case SILENT -> run.moves++;
     }
-    if (run.serverErrors >= run.job.policy.mostServerErrors()
-        && run.phase == ItemRun.Phase.WAITING) {
-      outcomes.finish(run, false, "", actions);
+    if (run.serverErrors >= run.jobExecution.policy.maxServerErrors()
+        && run.phase == ItemExecution.Phase.WAITING) {
+      finisher.finish(run, false, "", actions);
     }
     return actions;
   }
 
   /** The score of an item's text came. */
   public List<JobAction> onScored(String job, String item, String score) {
-    return outcomes.onScored(job, item, score);
+    return finisher.onScored(job, item, score);
   }
 
   /**
@@ -384,7 +390,7 @@
       int mostServerErrors,
       long pauseMillis,
       long nowMillis) {
-    return outcomes.onScoreFailed(
+    return finisher.onScoreFailed(
         job, item, serverErrors, mostServerErrors, pauseMillis, nowMillis);
   }
 
--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -37,9 +37,9 @@
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, Job> open = new LinkedHashMap<>();
-  private final Set<String> runs = new HashSet<>();
-  private final Map<PartKey, List<byte[]>> parts = new HashMap<>();
-  private final Map<String, Long> endedUnknown = new HashMap<>();
+  private final Set<String> knownRuns = new HashSet<>();
+  private final Map<PartKey, List<byte[]>> piecesByAppend = new HashMap<>();
+  private final Map<String, Long> endedBeforeAcceptance = new HashMap<>();
 
   /** Folds one record that was read at {@code nowMillis}. */
   public Effect apply(JobRecord.OfJob record, long nowMillis) {
@@ -49,21 +49,21 @@
     Job job = jobs.get(record.job());
     if (job == null) {
       if (record instanceof JobRecord.JobEnded) {
-        endedUnknown.put(record.job(), nowMillis);
+        endedBeforeAcceptance.put(record.job(), nowMillis);
       }
       return Effect.IGNORED;
     }
     Effect effect;
     if (record instanceof JobRecord.ItemFinished result) {
-      effect = job.list(result) ? Effect.LISTED : Effect.IGNORED;
+      effect = job.addResult(result) ? Effect.LISTED : Effect.IGNORED;
     } else {
-      effect = job.end() ? Effect.ENDED : Effect.IGNORED;
+      effect = job.markEnded() ? Effect.ENDED : Effect.IGNORED;
     }
-    noteOpen(job);
+    updateOpenJobs(job);
     return effect;
   }
 
-  private void noteOpen(Job job) {
+  private void updateOpenJobs(Job job) {
     if (job.isOpen()) {
       open.put(job.id(), job);
     } else {
@@ -76,7 +76,7 @@
       return Effect.IGNORED;
     }
     PartKey key = new PartKey(part.job(), part.attempt());
-    List<byte[]> pieces = parts.computeIfAbsent(key, unused -> new ArrayList<>());
+    List<byte[]> pieces = piecesByAppend.computeIfAbsent(key, unused -> new ArrayList<>());
     if (part.part() != pieces.size()) {
       return Effect.IGNORED;
     }
@@ -84,7 +84,7 @@
     if (pieces.size() < part.parts()) {
       return Effect.IGNORED;
     }
-    parts.keySet().removeIf(other -> other.job().equals(part.job()));
+    piecesByAppend.keySet().removeIf(other -> other.job().equals(part.job()));
     return accept(part.job(), pieces, nowMillis);
   }
 
@@ -94,11 +94,11 @@
     try {
       Job job = new Job(Codec.decode(whole.toByteArray(), JobSubmission.class), nowMillis);
       jobs.put(id, job);
-      runs.add(job.submission().run());
-      if (endedUnknown.remove(id) != null) {
-        job.end();
+      knownRuns.add(job.submission().run());
+      if (endedBeforeAcceptance.remove(id) != null) {
+        job.markEnded();
       }
-      noteOpen(job);
+      updateOpenJobs(job);
       return Effect.ACCEPTED;
     } catch (CodecException e) {
       return Effect.UNREADABLE;
@@ -117,14 +117,14 @@
 
   /** Whether some job of a run is known and not forgotten yet, open or not. */
   public boolean hasJobsOf(String run) {
-    return runs.contains(run);
+    return knownRuns.contains(run);
   }
 
   /** Forgets what was accepted before {@code beforeMillis} and is not open. */
   public void forget(long beforeMillis) {
     jobs.values().removeIf(job -> job.acceptedAtMillis() < beforeMillis && !job.isOpen());
-    runs.clear();
-    jobs.values().forEach(job -> runs.add(job.submission().run()));
-    endedUnknown.values().removeIf(at -> at < beforeMillis);
+    knownRuns.clear();
+    jobs.values().forEach(job -> knownRuns.add(job.submission().run()));
+    endedBeforeAcceptance.values().removeIf(at -> at < beforeMillis);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/LengthEstimate.java
+++ b/core/src/main/java/org/passhaven/core/job/LengthEstimator.java
@@ -5,31 +5,31 @@
  * Hints are right in the middle and often far off, so a text that is longer than expected counts as
  * half done. Not thread-safe.
  */
-final class LengthEstimate {
-  private static final double KEPT_SHARE = 0.995;
-  private static final double UNKNOWN_EVENTS = 20;
+final class LengthEstimator {
+  private static final double DECAY_FACTOR = 0.995;
+  private static final double DEFAULT_EVENTS = 20;
   private static final double MIN_REMAINING_EVENTS = 1;
-  private double tokens;
+  private double hintedTokens;
   private double hintedEvents;
-  private double events;
-  private double items;
+  private double totalEvents;
+  private double itemCount;
 
   /** An item's text is whole. */
-  void onWhole(long expectedTokens, long madeEvents) {
-    events = events * KEPT_SHARE + madeEvents;
-    items = items * KEPT_SHARE + 1;
+  void onCompleted(long expectedTokens, long madeEvents) {
+    totalEvents = totalEvents * DECAY_FACTOR + madeEvents;
+    itemCount = itemCount * DECAY_FACTOR + 1;
     if (expectedTokens > 0) {
-      tokens = tokens * KEPT_SHARE + expectedTokens;
-      hintedEvents = hintedEvents * KEPT_SHARE + madeEvents;
+      hintedTokens = hintedTokens * DECAY_FACTOR + expectedTokens;
+      hintedEvents = hintedEvents * DECAY_FACTOR + madeEvents;
     }
   }
 
   /** Events that an item's text is expected to have. */
   double expectedEvents(long expectedTokens) {
-    if (expectedTokens > 0 && tokens > 0) {
-      return expectedTokens * hintedEvents / tokens;
+    if (expectedTokens > 0 && hintedTokens > 0) {
+      return expectedTokens * hintedEvents / hintedTokens;
     }
-    return items > 0 ? events / items : UNKNOWN_EVENTS;
+    return itemCount > 0 ? totalEvents / itemCount : DEFAULT_EVENTS;
   }
 
   /** Events that are expected to come after {@code madeEvents}. */
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -18,10 +18,10 @@
 final class ReadyServers {
   private final Map<ServerStart, ServerEntry> byStart = new LinkedHashMap<>();
   private final Map<String, List<ServerEntry>> byService;
-  private final Map<String, NamedVersion> named;
+  private final Map<String, NamedVersion> announcedVersions;
 
   ReadyServers(Collection<ServerEntry> servers, Map<String, NamedVersion> named) {
-    this.named = Objects.requireNonNull(named, "named");
+    this.announcedVersions = Objects.requireNonNull(named, "named");
     servers.stream()
         .filter(ServerEntry::ready)
         .forEach(server -> byStart.put(server.start(), server));
@@ -53,30 +53,32 @@
   }
 
   /** Newest named weight version of a model; zero if none is named. */
-  long newestOf(String model) {
-    NamedVersion newest = named.get(model);
+  long newestVersionOf(String model) {
+    NamedVersion newest = announcedVersions.get(model);
     return newest == null ? 0 : newest.version();
   }
 
   /** Whether a server does not hold the newest weights of a model, so that it will load them. */
   boolean lacksNewestWeights(ServerEntry server, String model) {
-    return server.versionOf(model) < newestOf(model);
+    return server.versionOf(model) < newestVersionOf(model);
   }
 
   /** Newest weights of a model, if a server does not hold them. */
-  Optional<NamedVersion> lacking(ServerEntry server, String model) {
-    return lacksNewestWeights(server, model) ? Optional.of(named.get(model)) : Optional.empty();
+  Optional<NamedVersion> missingVersion(ServerEntry server, String model) {
+    return lacksNewestWeights(server, model)
+        ? Optional.of(announcedVersions.get(model))
+        : Optional.empty();
   }
 
   /** Newest weights of a model that were just named, if a server may begin to load them. */
-  Optional<NamedVersion> aboutToLoad(ServerEntry server, String model, long nowMillis) {
-    return lacking(server, model)
+  Optional<NamedVersion> versionToLoad(ServerEntry server, String model, long nowMillis) {
+    return missingVersion(server, model)
         .filter(newest -> !newest.isOverdueAt(server.versionOf(model), nowMillis));
   }
 
   /** Whether a server still holds older weights of a model though newer ones are overdue. */
   boolean hasOverdueWeights(ServerEntry server, String model, long nowMillis) {
-    NamedVersion newest = named.get(model);
+    NamedVersion newest = announcedVersions.get(model);
     return newest != null && newest.isOverdueAt(server.versionOf(model), nowMillis);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -18,18 +18,18 @@
  * later one is above all that were used. Times in monotonic milliseconds. Not thread-safe.
  */
 public final class RunOwners {
-  private static final long READ_BACK_MILLIS = 600;
-  private static final long RANK_MILLIS = 200;
-  private static final long TAKEN_ALIVE_MILLIS = 1_000;
+  private static final long CLAIM_RETRY_MILLIS = 600;
+  private static final long DELAY_PER_RANK_MILLIS = 200;
+  private static final long NEW_OWNER_GRACE_MILLIS = 1_000;
   private final String node;
   private final long incarnation;
-  private final UnaryOperator<String> candidateKeyOf;
+  private final UnaryOperator<String> streamOf;
   private final Map<String, RunTaken> owners = new HashMap<>();
-  private final Map<String, Long> ownerlessSince = new HashMap<>();
-  private final Map<String, Long> claimedAt = new HashMap<>();
-  private final Map<String, Long> takenAt = new HashMap<>();
-  private final Map<String, Long> writtenAt = new HashMap<>();
-  private final Map<String, Long> newestOffset = new HashMap<>();
+  private final Map<String, Long> ownerlessSinceMillis = new HashMap<>();
+  private final Map<String, Long> claimedAtMillis = new HashMap<>();
+  private final Map<String, Long> ownedSinceMillis = new HashMap<>();
+  private final Map<String, Long> lastClaimReadAtMillis = new HashMap<>();
+  private final Map<String, Long> lastClaimOffset = new HashMap<>();
 
   /**
    * Creates the view of one start of a node.
@@ -39,7 +39,7 @@
   public RunOwners(String node, long incarnation, UnaryOperator<String> candidateKeyOf) {
     this.node = Objects.requireNonNull(node, "node");
     this.incarnation = incarnation;
-    this.candidateKeyOf = Objects.requireNonNull(candidateKeyOf, "candidateKeyOf");
+    this.streamOf = Objects.requireNonNull(candidateKeyOf, "candidateKeyOf");
   }
 
   /**
@@ -49,25 +49,25 @@
    */
   public boolean apply(RunTaken record, long offset, long nowMillis) {
     String run = record.run();
-    long newest = newestOffset.getOrDefault(run, -1L);
+    long newest = lastClaimOffset.getOrDefault(run, -1L);
     // The writer has read the runner's newest claim, or the log no longer has it.
     boolean isValid = record.epoch() > epochOf(run) && newest < record.readTo();
-    boolean isRenewal = isOfOwner(record);
+    boolean isRenewal = isByCurrentOwner(record);
     if (!isValid && !isRenewal) {
       return false;
     }
-    newestOffset.put(run, offset);
-    writtenAt.put(run, nowMillis);
+    lastClaimOffset.put(run, offset);
+    lastClaimReadAtMillis.put(run, nowMillis);
     if (isRenewal) {
       return false;
     }
     owners.put(run, record);
-    ownerlessSince.remove(run);
-    takenAt.put(run, nowMillis);
+    ownerlessSinceMillis.remove(run);
+    ownedSinceMillis.put(run, nowMillis);
     return true;
   }
 
-  private boolean isOfOwner(RunTaken record) {
+  private boolean isByCurrentOwner(RunTaken record) {
     RunTaken owner = owners.get(record.run());
     return owner != null
         && owner.epoch() == record.epoch()
@@ -77,8 +77,8 @@
 
   /** Records of a stream that were not read are gone: who runs its runs is unknown. */
   public void onGap(String stream) {
-    owners.keySet().removeIf(run -> candidateKeyOf.apply(run).equals(stream));
-    newestOffset.keySet().removeIf(run -> candidateKeyOf.apply(run).equals(stream));
+    owners.keySet().removeIf(run -> streamOf.apply(run).equals(stream));
+    lastClaimOffset.keySet().removeIf(run -> streamOf.apply(run).equals(stream));
   }
 
   /**
@@ -89,12 +89,12 @@
    */
   public List<RunTaken> renewals(long renewMillis, ToLongFunction<String> readTo, long nowMillis) {
     return ownRuns().stream()
-        .filter(run -> nowMillis - writtenAt.get(run) >= renewMillis)
-        .map(run -> claimOf(run, epochOf(run), readTo.applyAsLong(candidateKeyOf.apply(run))))
+        .filter(run -> nowMillis - lastClaimReadAtMillis.get(run) >= renewMillis)
+        .map(run -> newClaim(run, epochOf(run), readTo.applyAsLong(streamOf.apply(run))))
         .toList();
   }
 
-  private RunTaken claimOf(String run, long epoch, long readTo) {
+  private RunTaken newClaim(String run, long epoch, long readTo) {
     return new RunTaken(run, epoch, node, incarnation, readTo);
   }
 
@@ -136,24 +136,24 @@
    */
   public Optional<RunTaken> claim(String run, BeatTable beats, long readTo, long nowMillis) {
     RunTaken owner = owners.get(run);
-    if (owner != null && isAlive(owner, beats, nowMillis)) {
-      ownerlessSince.remove(run);
+    if (owner != null && isOwnerAlive(owner, beats, nowMillis)) {
+      ownerlessSinceMillis.remove(run);
       return Optional.empty();
     }
-    long since = ownerlessSince.computeIfAbsent(run, name -> nowMillis);
-    long patience = beats.rankOf(candidateKeyOf.apply(run), node) * RANK_MILLIS;
-    Long claimed = claimedAt.get(run);
-    boolean justClaimed = claimed != null && nowMillis - claimed < READ_BACK_MILLIS;
+    long since = ownerlessSinceMillis.computeIfAbsent(run, name -> nowMillis);
+    long patience = beats.rankOf(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
+    Long claimed = claimedAtMillis.get(run);
+    boolean justClaimed = claimed != null && nowMillis - claimed < CLAIM_RETRY_MILLIS;
     if (justClaimed || nowMillis - since < patience || !beats.isTaking(node, incarnation)) {
       return Optional.empty();
     }
-    claimedAt.put(run, nowMillis);
-    return Optional.of(claimOf(run, readTo + 1, readTo));
+    claimedAtMillis.put(run, nowMillis);
+    return Optional.of(newClaim(run, readTo + 1, readTo));
   }
 
   /** A node may take a run before its first beat is read here: the record tells that it lives. */
-  private boolean isAlive(RunTaken owner, BeatTable beats, long nowMillis) {
-    boolean hasJustTaken = nowMillis - takenAt.get(owner.run()) < TAKEN_ALIVE_MILLIS;
+  private boolean isOwnerAlive(RunTaken owner, BeatTable beats, long nowMillis) {
+    boolean hasJustTaken = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
     return beats.isTaking(owner.node(), owner.incarnation())
         || (hasJustTaken && !beats.isOver(owner.node(), owner.incarnation()));
   }
--- a/core/src/main/java/org/passhaven/core/job/RunningJobs.java
+++ b/core/src/main/java/org/passhaven/core/job/RunningJobs.java
@@ -13,25 +13,25 @@
 final class RunningJobs {
   private static final int AWAITED_PRIORITY = 2;
   private static final int LATER_PRIORITY = 6;
-  private static final int MOST_ROUTE_PRIORITY = 3;
-  private final Map<String, JobWork> jobs = new LinkedHashMap<>();
+  private static final int MAX_ROUTE_PRIORITY = 3;
+  private final Map<String, JobExecution> jobs = new LinkedHashMap<>();
 
   /** A job; null if it does not run here. */
-  JobWork get(String job) {
+  JobExecution get(String job) {
     return jobs.get(job);
   }
 
   /** An item of a job; empty if its job does not run here. */
-  Optional<ItemRun> item(String job, String item) {
-    return Optional.ofNullable(jobs.get(job)).map(work -> work.runs.get(item));
+  Optional<ItemExecution> item(String job, String item) {
+    return Optional.ofNullable(jobs.get(job)).map(work -> work.items.get(item));
   }
 
-  void put(JobWork work) {
+  void put(JobExecution work) {
     jobs.put(work.job.id(), work);
   }
 
   /** Takes a job out; null if it does not run here. */
-  JobWork remove(String job) {
+  JobExecution remove(String job) {
     return jobs.remove(job);
   }
 
@@ -44,19 +44,19 @@
   }
 
   /** All items. */
-  Stream<ItemRun> items() {
-    return jobs.values().stream().map(work -> work.runs.values()).flatMap(Collection::stream);
+  Stream<ItemExecution> items() {
+    return jobs.values().stream().map(work -> work.items.values()).flatMap(Collection::stream);
   }
 
   /** Jobs that a trainer waits for first: the lowest step of each run before later ones. */
-  List<JobWork> byUrgency() {
+  List<JobExecution> byUrgency() {
     return jobs.values().stream()
-        .sorted(Comparator.comparingLong((JobWork work) -> work.job.submission().step()))
+        .sorted(Comparator.comparingLong((JobExecution work) -> work.job.submission().step()))
         .toList();
   }
 
   /** Priority of a job's generations, 0 to 9, 0 first. */
-  int priorityOf(JobWork work) {
+  int priorityOf(JobExecution work) {
     String run = work.job.submission().run();
     long step = work.job.submission().step();
     boolean earlier =
@@ -65,7 +65,7 @@
                 other ->
                     other.job.submission().run().equals(run)
                         && other.job.submission().step() < step);
-    int rank = Math.max(0, Math.min(MOST_ROUTE_PRIORITY, work.policy.priority()));
+    int rank = Math.max(0, Math.min(MAX_ROUTE_PRIORITY, work.policy.priority()));
     return rank + (earlier ? LATER_PRIORITY : AWAITED_PRIORITY);
   }
 
--- a/core/src/main/java/org/passhaven/core/job/TextTable.java
+++ b/core/src/main/java/org/passhaven/core/job/TextTable.java
@@ -21,7 +21,7 @@
   private final Map<String, String> lastJobByItem = new HashMap<>();
 
   private long epoch;
-  private long number;
+  private long lastNumber;
 
   /** Creates the empty fold of a run. */
   public TextTable(String run) {
@@ -31,12 +31,12 @@
   /** Folds one record; true if it took effect. */
   public boolean apply(TextRecord record) {
     boolean isNewEpoch = record.epoch() > epoch;
-    boolean isNext = record.epoch() == epoch && record.number() > number;
+    boolean isNext = record.epoch() == epoch && record.number() > lastNumber;
     if (!record.run().equals(run) || !(isNewEpoch || isNext)) {
       return false;
     }
     epoch = record.epoch();
-    number = record.number();
+    lastNumber = record.number();
     record.parts().forEach(this::apply);
     return true;
   }
@@ -44,7 +44,7 @@
   private void apply(TextPart part) {
     Key key = new Key(part.job(), part.item());
     ItemText text = texts.getOrDefault(key, new ItemText());
-    if (text.replaceBehind(part)) {
+    if (text.replaceAfter(part)) {
       texts.put(key, text);
       lastJobByItem.put(part.item(), part.job());
     }
@@ -54,7 +54,7 @@
    * Takes an item's text out of the table: that of the job, else the last one that an earlier job
    * left of the same item; null if there is none.
    */
-  ItemText take(String job, String item) {
+  ItemText remove(String job, String item) {
     ItemText own = texts.remove(new Key(job, item));
     String lastJob = lastJobByItem.remove(item);
     return own != null || lastJob == null ? own : texts.remove(new Key(lastJob, item));
--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -19,7 +19,7 @@
   private static final ServerEntry FAST = server("fast");
   private static final ServerEntry SLOW = server("slow");
   private final ServerView view = new ServerView();
-  private final LengthEstimate lengths = new LengthEstimate();
+  private final LengthEstimator lengths = new LengthEstimator();
   private final GenerationPicker picker = new GenerationPicker("n", "z", view, lengths);
   private final ReadyServers servers = new ReadyServers(List.of(FAST, SLOW), Map.of());
 
@@ -28,22 +28,22 @@
         ServerStart.of(name), "llm", name + ":1", "z", 12, true, Map.of("m", 1L));
   }
 
-  private static ItemRun item(long expectedTokens) {
+  private static ItemExecution item(long expectedTokens) {
     JobItem item = JobTableTest.item("x" + expectedTokens, "g" + expectedTokens);
     JobItem hinted =
         new JobItem(
             item.id(), item.path(), List.of(), item.body(), item.group(), expectedTokens, null);
     Job job = new Job(JobTableTest.submission("j", 0, 0, hinted), 0);
-    return new JobWork(job, new JobPolicy("llm", 3, false, 1, 0)).runs.get(hinted.id());
+    return new JobExecution(job, new JobPolicy("llm", 3, false, 1, 0)).items.get(hinted.id());
   }
 
   /** One event for ten tokens; the slow server takes a quarter longer for each. */
   @BeforeEach
   void observe() {
-    lengths.onWhole(100, 10);
+    lengths.onCompleted(100, 10);
     for (int i = 0; i < 20; i++) {
-      view.pace().onPause(ServerStart.of("fast"), 40, i);
-      view.pace().onPause(ServerStart.of("slow"), 50, i);
+      view.intervals().onInterval(ServerStart.of("fast"), 40, i);
+      view.intervals().onInterval(ServerStart.of("slow"), 50, i);
     }
     picker.beginRound(servers, 20);
   }
@@ -72,10 +72,10 @@
 
   @Test
   void aTextIsMovedWhereItsRestEndsMuchSooner() {
-    ItemRun run = item(1_000);
+    ItemExecution run = item(1_000);
     run.server = ServerStart.of("slow");
     assertThat(picker.chooseFaster(run, 20), equalTo(Optional.of(FAST)));
-    ItemRun small = item(100);
+    ItemExecution small = item(100);
     small.server = ServerStart.of("slow");
     assertThat(picker.chooseFaster(small, 20), equalTo(Optional.empty()));
     run.server = ServerStart.of("fast");
@@ -84,7 +84,7 @@
 
   @Test
   void aTextThatTurnsOutLongIsMovedToo() {
-    ItemRun run = item(50);
+    ItemExecution run = item(50);
     run.server = ServerStart.of("slow");
     for (int event = 1; event <= 40; event++) {
       run.text.append(event, 1, "e");
@@ -96,11 +96,11 @@
   @Test
   void aTextStaysAtAServerThatIsHardlySlower() {
     for (int i = 0; i < 100; i++) {
-      view.pace().onPause(ServerStart.of("fast"), 40, 2_000 + i);
-      view.pace().onPause(ServerStart.of("slow"), 44, 2_000 + i);
+      view.intervals().onInterval(ServerStart.of("fast"), 40, 2_000 + i);
+      view.intervals().onInterval(ServerStart.of("slow"), 44, 2_000 + i);
     }
     picker.beginRound(servers, 2_100);
-    ItemRun run = item(1_000);
+    ItemExecution run = item(1_000);
     run.server = ServerStart.of("slow");
     assertThat(picker.chooseFaster(run, 2_100), equalTo(Optional.empty()));
   }
@@ -108,11 +108,11 @@
   @Test
   void aTextStaysAtAServerThatIsSlowForAMoment() {
     for (int now = 1_000; now < 2_600; now++) {
-      view.pace().onPause(ServerStart.of("fast"), 40, now);
-      view.pace().onPause(ServerStart.of("slow"), now < 2_000 ? 40 : 100, now);
+      view.intervals().onInterval(ServerStart.of("fast"), 40, now);
+      view.intervals().onInterval(ServerStart.of("slow"), now < 2_000 ? 40 : 100, now);
     }
     picker.beginRound(servers, 2_600);
-    ItemRun run = item(1_000);
+    ItemExecution run = item(1_000);
     run.server = ServerStart.of("slow");
     assertThat(picker.chooseFaster(run, 2_600), equalTo(Optional.empty()));
     assertThat(view.slowServers(), empty());
@@ -143,15 +143,15 @@
         new ReadyServers(List.of(FAST, SLOW), Map.of("m", new NamedVersion(2, 0)));
     picker.beginRound(justNamed, 20);
     for (String chosen : List.of("fast", "slow")) {
-      ItemRun run = item(1_000);
+      ItemExecution run = item(1_000);
       run.server = ServerStart.of(chosen);
       assertThat(choose(1_000), equalTo(chosen));
       picker.onSent(run);
     }
     assertThat(picker.choose(item(1_000), 20), equalTo(Optional.empty()));
-    ItemRun refused = item(1_000);
+    ItemExecution refused = item(1_000);
     refused.server = ServerStart.of("fast");
-    picker.onAnswered(refused);
+    picker.removePending(refused);
     picker.onRefused(refused, 25);
     assertThat(picker.choose(item(1_000), 890), equalTo(Optional.empty()));
     ServerEntry loaded =
@@ -165,11 +165,11 @@
   void aServerThatJustStartedGetsOneGenerationUntilItTakesIt() {
     ServerEntry started = server("a-new-one");
     picker.beginRound(new ReadyServers(List.of(started), Map.of()), 30);
-    ItemRun run = item(100);
+    ItemExecution run = item(100);
     run.server = started.start();
     picker.onSent(run);
     assertThat(picker.choose(item(100), 30), equalTo(Optional.empty()));
-    picker.onTaken(run);
+    picker.onAccepted(run);
     assertThat(picker.choose(item(100), 30), equalTo(Optional.of(started)));
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/LengthEstimateTest.java
+++ b/core/src/test/java/org/passhaven/core/job/LengthEstimateTest.java
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test;
 
 class LengthEstimateTest {
-  private final LengthEstimate estimate = new LengthEstimate();
+  private final LengthEstimator estimate = new LengthEstimator();
 
   @Test
   void aHintCountsByWhatHintsCameToSoFar() {
-    estimate.onWhole(100, 2);
-    estimate.onWhole(300, 6);
+    estimate.onCompleted(100, 2);
+    estimate.onCompleted(300, 6);
     assertThat(estimate.expectedEvents(500), closeTo(10, 0.001));
   }
 
   @Test
   void withoutAHintTheMeanIsExpected() {
-    estimate.onWhole(0, 10);
-    estimate.onWhole(0, 30);
+    estimate.onCompleted(0, 10);
+    estimate.onCompleted(0, 30);
     assertThat(estimate.expectedEvents(0), closeTo(20, 0.1));
   }
 
   @Test
   void aTextLongerThanExpectedCountsAsHalfDone() {
-    estimate.onWhole(100, 10);
+    estimate.onCompleted(100, 10);
     assertThat(estimate.remainingEvents(100, 4), closeTo(6, 0.001));
     assertThat(estimate.remainingEvents(100, 40), equalTo(40.0));
   }
--- a/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
+++ b/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
@@ -46,7 +46,7 @@
   private ItemText folded() {
     TextTable table = new TextTable(RUN);
     log.subList(firstKept, log.size()).forEach(table::apply);
-    ItemText text = table.take("j", "x");
+    ItemText text = table.remove("j", "x");
     return text == null ? new ItemText() : text;
   }
 
@@ -84,7 +84,7 @@
       return;
     }
     owner.number++;
-    TextPart part = owner.text.partBehind(owner.saved, "j", "x", false);
+    TextPart part = owner.text.partAfter(owner.saved, "j", "x", false);
     onTheWay.add(new TextRecord(RUN, owner.epoch, owner.number, List.of(part)));
     boolean isAnswered = random.nextInt(3) > 0;
     if (isAnswered) {
@@ -112,7 +112,7 @@
   private static boolean isJoined(ItemText text) {
     String before = "";
     long number = 0;
-    for (String event : text.partBehind(0, "j", "x", false).events()) {
+    for (String event : text.partAfter(0, "j", "x", false).events()) {
       String[] fields = event.split(" ", -1);
       number++;
       boolean continues = fields[1].equals(before);
--- a/core/src/test/java/org/passhaven/core/job/TextTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/TextTableTest.java
@@ -30,7 +30,7 @@
     for (long event = after + 1; event <= after + events; event++) {
       before.append(event, version, maker + event);
     }
-    return before.partBehind(after, job, "x", false);
+    return before.partAfter(after, job, "x", false);
   }
 
   private static ItemText known(String first, long version, String second, long nextVersion) {
@@ -45,24 +45,24 @@
   }
 
   private String text() {
-    return table.take("j", "x").data();
+    return table.remove("j", "x").data();
   }
 
   @Test
   void partsThatFollowEachOtherAreJoined() {
     record(1, 1, part("j", 0, "a", 2, 3));
     record(1, 2, part("j", known("a1", 3, "a2", 3), 2, "a", 1, 4));
-    ItemText text = table.take("j", "x");
+    ItemText text = table.remove("j", "x");
     assertThat(text.data(), equalTo("a1\na2\na3"));
     assertThat(text.versions(), contains(3L, 4L));
-    assertThat(table.take("j", "x"), nullValue());
+    assertThat(table.remove("j", "x"), nullValue());
   }
 
   @Test
   void aSuccessorsPartReplacesWhatItsPredecessorMadeBehindIt() {
     record(1, 1, part("j", 0, "a", 4, 1));
     record(2, 1, part("j", known("a1", 1, "a2", 1), 2, "b", 1, 2));
-    ItemText text = table.take("j", "x");
+    ItemText text = table.remove("j", "x");
     assertThat(text.data(), equalTo("a1\na2\nb3"));
     assertThat(text.versions(), contains(1L, 2L));
   }
@@ -100,7 +100,7 @@
   @Test
   void anItemThatALaterJobCarriesOverKeepsItsText() {
     record(1, 1, part("j", 0, "a", 2, 1));
-    assertThat(table.take("k", "x").data(), equalTo("a1\na2"));
+    assertThat(table.remove("k", "x").data(), equalTo("a1\na2"));
   }
 
   @Test
