--- a/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
@@ -6,44 +6,40 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * Speed of servers, by the pauses between events as this node sees them, on two time scales. A
- * server that shares its machine may be slow for a moment, and moving a generation does not pay off
- * then; a server that is slow on the longer scale stays slow. Times in monotonic milliseconds. Not
- * thread-safe.
+ * Measures the intervals between events of each server on two time scales: a recent mean, and a
+ * sustained value that ignores transient slowness. Moving a generation pays off only if a server is
+ * slow for a sustained time. Times are in monotonic milliseconds. Not thread-safe.
  */
 final class EventIntervalTracker {
-  /** A server makes hundreds of events a second: few of them say little. */
+  /** Minimum weight of a sample in the recent mean. */
   private static final double MIN_WEIGHT = 0.03;
 
   private static final long MAX_SAMPLE_AGE_MILLIS = 4_000;
   private static final int MIN_SAMPLES = 8;
 
-  /**
-   * Number of spans: together they are longer than a momentary slowness, so that one is free of it.
-   */
+  /** Number of time buckets, which together span more than a transient slowdown. */
   private static final int BUCKETS = 5;
 
-  /** Length of a span. */
   private static final long BUCKET_MILLIS = 300;
 
-  /** Samples that a span needs to count. */
+  /** Number of samples from which on the mean of a bucket is used. */
   private static final int MIN_BUCKET_SAMPLES = 3;
 
   private final Map<ServerStart, Statistics> statisticsByServer = new HashMap<>();
 
-  /** Sum and number of the pauses in one span of time. */
+  /** Sum and number of the intervals in one time bucket. */
   private static final class Bucket {
     long number = Long.MIN_VALUE;
     double sumMillis;
     int samples;
 
-    void add(long spanNumber, long pauseMillis) {
-      if (number != spanNumber) {
-        number = spanNumber;
+    void add(long bucketNumber, long intervalMillis) {
+      if (number != bucketNumber) {
+        number = bucketNumber;
         sumMillis = 0;
         samples = 0;
       }
-      sumMillis += pauseMillis;
+      sumMillis += intervalMillis;
       samples++;
     }
 
@@ -64,48 +60,49 @@
       }
     }
 
-    /** The smallest mean of the last spans; {@code orElse} if none has enough samples. */
+    /** Returns the smallest mean of the last buckets; {@code orElse} if none has enough samples. */
     double sustainedMillis(double orElse) {
       long newest = lastSampleAtMillis / BUCKET_MILLIS;
-      double least = Double.MAX_VALUE;
-      for (Bucket span : buckets) {
-        if (newest - span.number < BUCKETS && span.samples >= MIN_BUCKET_SAMPLES) {
-          least = Math.min(least, span.meanMillis());
+      double minimum = Double.MAX_VALUE;
+      for (Bucket bucket : buckets) {
+        if (newest - bucket.number < BUCKETS && bucket.samples >= MIN_BUCKET_SAMPLES) {
+          minimum = Math.min(minimum, bucket.meanMillis());
         }
       }
-      return least == Double.MAX_VALUE ? orElse : least;
+      return minimum == Double.MAX_VALUE ? orElse : minimum;
     }
   }
 
-  void onInterval(ServerStart server, long pauseMillis, long nowMillis) {
-    Statistics pace = statisticsByServer.computeIfAbsent(server, name -> new Statistics());
-    if (pace.samples == 0 || nowMillis - pace.lastSampleAtMillis > MAX_SAMPLE_AGE_MILLIS) {
-      pace.samples = 0;
+  void onInterval(ServerStart server, long intervalMillis, long nowMillis) {
+    Statistics statistics = statisticsByServer.computeIfAbsent(server, name -> new Statistics());
+    if (statistics.samples == 0
+        || nowMillis - statistics.lastSampleAtMillis > MAX_SAMPLE_AGE_MILLIS) {
+      statistics.samples = 0;
     }
-    pace.samples++;
-    double weight = Math.max(MIN_WEIGHT, 1.0 / pace.samples);
-    pace.recentMeanMillis += weight * (pauseMillis - pace.recentMeanMillis);
-    pace.lastSampleAtMillis = nowMillis;
-    long span = nowMillis / BUCKET_MILLIS;
-    pace.buckets[(int) Math.floorMod(span, (long) BUCKETS)].add(span, pauseMillis);
+    statistics.samples++;
+    double weight = Math.max(MIN_WEIGHT, 1.0 / statistics.samples);
+    statistics.recentMeanMillis += weight * (intervalMillis - statistics.recentMeanMillis);
+    statistics.lastSampleAtMillis = nowMillis;
+    long bucket = nowMillis / BUCKET_MILLIS;
+    statistics.buckets[(int) Math.floorMod(bucket, (long) BUCKETS)].add(bucket, intervalMillis);
   }
 
-  /** Pause between two events at a server in the last moment; zero if it is not known. */
+  /** Returns the recent mean interval between events of a server; zero if it is unknown. */
   double recentMillis(ServerStart server, long nowMillis) {
-    Statistics pace = statisticsByServer.get(server);
-    boolean trusted =
-        pace != null
-            && pace.samples >= MIN_SAMPLES
-            && nowMillis - pace.lastSampleAtMillis <= MAX_SAMPLE_AGE_MILLIS;
-    return trusted ? pace.recentMeanMillis : 0;
+    Statistics statistics = statisticsByServer.get(server);
+    boolean isReliable =
+        statistics != null
+            && statistics.samples >= MIN_SAMPLES
+            && nowMillis - statistics.lastSampleAtMillis <= MAX_SAMPLE_AGE_MILLIS;
+    return isReliable ? statistics.recentMeanMillis : 0;
   }
 
-  /** Pause between two events at a server that lasts; zero if it is not known. */
+  /** Returns the sustained interval between events of a server; zero if it is unknown. */
   double sustainedMillis(ServerStart server, long nowMillis) {
-    double moment = recentMillis(server, nowMillis);
-    return moment == 0
+    double recent = recentMillis(server, nowMillis);
+    return recent == 0
         ? 0
-        : Math.min(moment, statisticsByServer.get(server).sustainedMillis(moment));
+        : Math.min(recent, statisticsByServer.get(server).sustainedMillis(recent));
   }
 
   void retain(Collection<ServerStart> servers) {
--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -11,30 +11,27 @@
 import org.passhaven.core.placement.Rendezvous;
 
 /**
- * Chooses the server of a generation: one whose weights are allowed and that has a free slot, by
- * the time that the rest of the text is expected to take there, what all nodes have there, weights
- * and what it keeps of the group's prompt. So long texts go to fast servers and short ones leave
- * them room. Servers that may refuse get one generation first, and more as they take them. Times in
- * monotonic milliseconds. Not thread-safe.
+ * Chooses the model server of a generation among the servers with allowed weights and a free slot.
+ * The cost of a server is the expected time of the remaining text there, plus its load by all
+ * nodes, less a bonus if its prompt cache is likely to hold the group's prompt. Long texts
+ * therefore go to fast servers and short texts to slower ones. Times are in monotonic milliseconds.
+ * Not thread-safe.
  */
 final class GenerationPicker {
   private static final double AFFINITY_GAIN_MILLIS = 60;
   private static final double OTHER_ZONE_COST_MILLIS = 15;
   private static final double OVERDUE_WEIGHTS_COST_MILLIS = 800;
 
-  /** What the last free slot of a server is worth to a longer text that may come. */
+  /** Cost of occupying the last free slot, which a longer text might need. */
   private static final double FULL_SERVER_COST_MILLIS = 600;
 
-  /** Expected wait for a slot of a full server, for each generation that waits there. */
+  /** Expected wait at a full server for each queued generation. */
   private static final double QUEUED_GENERATION_COST_MILLIS = 200;
 
-  /**
-   * Smallest ratio of two servers' lasting pauses for a move. Servers of one service differ by a
-   * quarter for good; a step's longest texts are late if they stay at the slow ones.
-   */
+  /** Minimum ratio of the sustained event intervals of two servers for a move. */
   private static final double MIN_MOVE_RATIO = 1.15;
 
-  /** Smallest expected gain of a move, which costs a connection, a slot and a second prefill. */
+  /** Minimum expected gain of a move, which costs a connection, a slot and a second prefill. */
   private static final double MIN_MOVE_GAIN_MILLIS = 400;
 
   private static final int MAX_GROUPS = 4_096;
@@ -53,29 +50,29 @@
     this.lengths = Objects.requireNonNull(lengths, "lengths");
   }
 
-  /** Begins a round of decisions: the servers and how fast they are stay the same in it. */
-  void beginRound(ReadyServers nowReady, long nowMillis) {
-    servers = nowReady;
-    refusals.retain(nowReady.starts());
-    view.beginRound(nowReady, nowMillis);
+  /** Begins a scheduling round, during which the servers and their speeds stay the same. */
+  void beginRound(ReadyServers readyServers, long nowMillis) {
+    servers = readyServers;
+    refusals.retain(readyServers.starts());
+    view.beginRound(readyServers, nowMillis);
   }
 
-  /** The server for an item; empty if none has room and may serve it. */
-  Optional<ServerEntry> choose(ItemExecution run, long nowMillis) {
-    return servers.of(run.jobExecution.policy.service()).stream()
-        .filter(server -> canServe(run, server, nowMillis))
+  /** Returns the server for an item; empty if no allowed server has a free slot. */
+  Optional<ServerEntry> choose(ItemExecution execution, long nowMillis) {
+    return servers.of(execution.jobExecution.policy.service()).stream()
+        .filter(server -> canServe(execution, server, nowMillis))
         .min(
-            Comparator.comparingDouble((ServerEntry server) -> cost(run, server, nowMillis))
+            Comparator.comparingDouble((ServerEntry server) -> cost(execution, server, nowMillis))
                 .thenComparingLong(this::tieBreak)
                 .thenComparing(ServerEntry::start));
   }
 
-  /** Differs by node, so that nodes that see the same free servers choose different ones. */
+  /** Returns a rank that differs by node, so that nodes choose different servers of equal cost. */
   private long tieBreak(ServerEntry server) {
     return view.hasPeerReports() ? Rendezvous.weight(node, server.start().id()) : 0;
   }
 
-  /** A generation of a group began at a server, which now keeps the group's prompt. */
+  /** Remembers the server that has the group's prompt in its cache. */
   void rememberServerOfGroup(String group, ServerStart start) {
     serverByGroup.remove(group);
     serverByGroup.put(group, start);
@@ -84,23 +81,24 @@
     }
   }
 
-  /** A generation was sent to its server. */
-  void onSent(ItemExecution run) {
-    refusals.onSent(run.server, modelOf(run));
+  /** Counts a generation that was sent to its server as pending. */
+  void onSent(ItemExecution execution) {
+    refusals.onSent(execution.server, modelOf(execution));
   }
 
-  /** The server of a generation has begun it. */
-  void onAccepted(ItemExecution run) {
-    refusals.onAccepted(run.server, modelOf(run), servers.newestVersionOf(modelOf(run)));
+  /** Handles the acceptance of a generation by its server. */
+  void onAccepted(ItemExecution execution) {
+    refusals.onAccepted(
+        execution.server, modelOf(execution), servers.newestVersionOf(modelOf(execution)));
   }
 
-  /** The server of a generation refused it: it is full, or loads weights. */
-  void onRefused(ItemExecution run, long nowMillis) {
-    String model = modelOf(run);
-    ServerEntry server = servers.get(run.server);
+  /** Handles the refusal of a generation by its server, which is full or loads weights. */
+  void onRefused(ItemExecution execution, long nowMillis) {
+    String model = modelOf(execution);
+    ServerEntry server = servers.get(execution.server);
     if (server != null) {
       refusals.onRefused(
-          run.server,
+          execution.server,
           model,
           server.versionOf(model),
           servers.missingVersion(server, model),
@@ -108,79 +106,80 @@
     }
   }
 
-  /** A generation that was sent waits for its server no longer, whatever came of it. */
-  void removePending(ItemExecution run) {
-    refusals.removePending(run.server, modelOf(run));
+  /** Stops counting a generation as pending, whatever its outcome. */
+  void removePending(ItemExecution execution) {
+    refusals.removePending(execution.server, modelOf(execution));
   }
 
-  /** A server on which a generation would end so much sooner that it is worth to move it. */
-  Optional<ServerEntry> chooseFaster(ItemExecution run, long nowMillis) {
-    double here = view.sustainedIntervalMillis(run.server);
-    double remaining = remainingEvents(run);
-    if (here == 0) {
+  /** Returns a server where a running generation would end enough earlier to justify a move. */
+  Optional<ServerEntry> chooseFaster(ItemExecution execution, long nowMillis) {
+    double currentIntervalMillis = view.sustainedIntervalMillis(execution.server);
+    double remainingEvents = remainingEvents(execution);
+    if (currentIntervalMillis == 0) {
       return Optional.empty();
     }
-    return choose(run, nowMillis)
-        .filter(server -> !server.start().equals(run.server))
-        .filter(server -> isNotLoading(run, server))
-        .filter(server -> here >= MIN_MOVE_RATIO * view.sustainedIntervalMillis(server.start()))
+    return choose(execution, nowMillis)
+        .filter(server -> !server.start().equals(execution.server))
+        .filter(server -> isNotLoading(execution, server))
         .filter(
             server ->
-                remaining * (here - view.sustainedIntervalMillis(server.start()))
+                currentIntervalMillis
+                    >= MIN_MOVE_RATIO * view.sustainedIntervalMillis(server.start()))
+        .filter(
+            server ->
+                remainingEvents
+                        * (currentIntervalMillis - view.sustainedIntervalMillis(server.start()))
                     >= MIN_MOVE_GAIN_MILLIS);
   }
 
-  /** Whether a server neither loads weights, by all that is known, nor is about to. */
-  private boolean isNotLoading(ItemExecution run, ServerEntry server) {
-    return !refusals.isRefusing(server, modelOf(run))
-        && !servers.lacksNewestWeights(server, modelOf(run));
+  /** Returns whether a server neither loads weights nor is about to, as far as known. */
+  private boolean isNotLoading(ItemExecution execution, ServerEntry server) {
+    return !refusals.isRefusing(server, modelOf(execution))
+        && !servers.lacksNewestWeights(server, modelOf(execution));
   }
 
-  private static String modelOf(ItemExecution run) {
-    return run.jobExecution.job.submission().model();
+  private static String modelOf(ItemExecution execution) {
+    return execution.jobExecution.job.submission().model();
   }
 
-  private double remainingEvents(ItemExecution run) {
-    return lengths.remainingEvents(run.item.expectedTokens(), run.text.lastEvent());
+  private double remainingEvents(ItemExecution execution) {
+    return lengths.remainingEvents(execution.item.expectedTokens(), execution.text.lastEvent());
   }
 
-  private boolean canServe(ItemExecution run, ServerEntry server, long nowMillis) {
-    String model = modelOf(run);
-    boolean versionFits =
+  private boolean canServe(ItemExecution execution, ServerEntry server, long nowMillis) {
+    String model = modelOf(execution);
+    boolean isVersionAllowed =
         model.isEmpty()
-            || server.versionOf(model) >= run.jobExecution.job.submission().oldestVersion();
-    return versionFits
+            || server.versionOf(model) >= execution.jobExecution.job.submission().oldestVersion();
+    return isVersionAllowed
         && refusals.maySend(
             server, model, servers.versionToLoad(server, model, nowMillis), nowMillis)
         && !view.health().isAvoided(server.start(), nowMillis)
         && view.health().inProgress(server.start()) < Math.max(1, server.slots());
   }
 
-  /** Expected time of the rest of a text at a server, and what else speaks against it. */
-  private double cost(ItemExecution run, ServerEntry server, long nowMillis) {
+  /** Returns the expected time of the remaining text at a server, plus penalties. */
+  private double cost(ItemExecution execution, ServerEntry server, long nowMillis) {
     ServerStart start = server.start();
-    double cost = view.expectedMillis(remainingEvents(run), start) + loadCost(server);
-    if (start.equals(serverByGroup.get(run.item.group()))) {
+    double cost = view.expectedMillis(remainingEvents(execution), start) + loadCost(server);
+    if (start.equals(serverByGroup.get(execution.item.group()))) {
       cost -= AFFINITY_GAIN_MILLIS;
     }
     if (!server.zone().equals(zone)) {
       cost += OTHER_ZONE_COST_MILLIS;
     }
-    if (servers.hasOverdueWeights(server, modelOf(run), nowMillis)) {
+    if (servers.hasOverdueWeights(server, modelOf(execution), nowMillis)) {
       cost += OVERDUE_WEIGHTS_COST_MILLIS;
     }
     return cost;
   }
 
-  /**
-   * Cost of a server's load by all nodes' generations: grows with its use, and more beyond its
-   * slots.
-   */
+  /** Returns the cost of a server's load by all nodes, which is higher once its slots are full. */
   private double loadCost(ServerEntry server) {
     int slots = Math.max(1, server.slots());
-    int taken = view.occupiedSlots(server.start());
-    int queued = Math.max(0, taken + 1 - slots);
-    return FULL_SERVER_COST_MILLIS * Math.min(slots, taken) / slots
+    int occupied = view.occupiedSlots(server.start());
+    int queued = Math.max(0, occupied + 1 - slots);
+    return FULL_SERVER_COST_MILLIS * Math.min(slots, occupied) / slots
         + QUEUED_GENERATION_COST_MILLIS * queued;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemExecution.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemExecution.java
@@ -4,7 +4,7 @@
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
-/** How far the runner is with one item. Not thread-safe. */
+/** Progress of one item of a job that this node runs. Not thread-safe. */
 final class ItemExecution {
   enum Phase {
     WAITING,
@@ -20,13 +20,13 @@
   Phase phase = Phase.WAITING;
   ItemText text = new ItemText();
 
-  /** Events of the text that the log has, or that are on their way there. */
+  /** Number of events of the text that are in the log or being appended to it. */
   private long savedEvents;
 
   private boolean isSavedAsComplete;
   long attempt;
 
-  /** Whether the server of the attempt has begun it. */
+  /** Whether the server has accepted the current attempt. */
   boolean accepted;
 
   ServerStart server = ServerStart.of("");
@@ -59,20 +59,20 @@
         server);
   }
 
-  /** An attempt begins at a server. */
-  void startAttempt(long newAttempt, ServerStart at, long nowMillis) {
+  /** Starts an attempt at a server. */
+  void startAttempt(long newAttempt, ServerStart newServer, long nowMillis) {
     phase = Phase.GENERATING;
     attempt = newAttempt;
     attempts++;
     firstStartedAtMillis = attempts == 1 ? nowMillis : firstStartedAtMillis;
-    server = at;
+    server = newServer;
     version = 0;
     startedAtMillis = nowMillis;
     lastProgressAtMillis = nowMillis;
     accepted = false;
   }
 
-  /** Whether nothing but the score, or the record of the result, is missing. */
+  /** Returns whether only the score or the record of the result is missing. */
   boolean hasCompleteText() {
     return phase == Phase.WAITING_FOR_SCORE || phase == Phase.SCORING || phase == Phase.FINISHING;
   }
@@ -81,14 +81,14 @@
     setText(new ItemText());
   }
 
-  /** Takes another text, none of which counts as being in the log. */
+  /** Replaces the text and marks all of it as unsaved. */
   void setText(ItemText newText) {
     text = newText;
     savedEvents = 0;
     isSavedAsComplete = false;
   }
 
-  /** Whether the log lacks something of the text, and may still be asked for it. */
+  /** Returns whether the item is open and a part of its text is not in the log. */
   boolean isUnsaved() {
     boolean isOpen = phase != Phase.DONE && phase != Phase.FINISHING;
     return isOpen
@@ -96,16 +96,16 @@
         && (text.lastEvent() > savedEvents || hasCompleteText() != isSavedAsComplete);
   }
 
-  /** What the log lacks of the text; counts as being there from now on. */
+  /** Returns the part of the text that is not in the log and marks it as saved. */
   TextPart takeUnsaved() {
-    boolean isWhole = hasCompleteText();
-    TextPart part = text.partAfter(savedEvents, jobExecution.job.id(), item.id(), isWhole);
+    boolean isComplete = hasCompleteText();
+    TextPart part = text.partAfter(savedEvents, jobExecution.job.id(), item.id(), isComplete);
     savedEvents = text.lastEvent();
-    isSavedAsComplete = isWhole;
+    isSavedAsComplete = isComplete;
     return part;
   }
 
-  /** The log may lack what lies behind an event. */
+  /** Marks the events after {@code afterEvent} as not saved in the log. */
   void markUnsavedAfter(long afterEvent) {
     savedEvents = Math.min(savedEvents, afterEvent);
     isSavedAsComplete = false;
--- a/core/src/main/java/org/passhaven/core/job/ItemFinisher.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemFinisher.java
@@ -6,8 +6,8 @@
 import org.passhaven.protocol.job.ItemResult;
 
 /**
- * What becomes of items whose text is whole, or that are given up: scores are asked for, and
- * results given. Times in monotonic milliseconds. Not thread-safe.
+ * Requests the scores of items with a complete text and creates the results of items that are
+ * scored or have failed. Times are in monotonic milliseconds. Not thread-safe.
  */
 final class ItemFinisher {
   private static final long SCORE_RETRY_DELAY_MILLIS = 100;
@@ -17,84 +17,84 @@
     this.jobs = Objects.requireNonNull(jobs, "jobs");
   }
 
-  /** Asks anew for the scores of a job that did not come and are due. */
-  void retryScores(JobExecution work, long nowMillis, List<JobAction> actions) {
-    work.items.values().stream()
-        .filter(run -> run.phase == ItemExecution.Phase.WAITING_FOR_SCORE)
-        .filter(run -> run.retryAtMillis <= nowMillis)
-        .forEach(run -> scoreOrFinish(run, actions));
+  /** Retries the failed score requests of a job that are due. */
+  void retryScores(JobExecution jobExecution, long nowMillis, List<JobAction> actions) {
+    jobExecution.items.values().stream()
+        .filter(execution -> execution.phase == ItemExecution.Phase.WAITING_FOR_SCORE)
+        .filter(execution -> execution.retryAtMillis <= nowMillis)
+        .forEach(execution -> scoreOrFinish(execution, actions));
   }
 
-  /** An item's text is whole. */
-  void scoreOrFinish(ItemExecution run, List<JobAction> actions) {
-    if (run.item.score() == null) {
-      finish(run, true, "", actions);
+  /** Requests the score of an item with a complete text, or finishes it if it has no scorer. */
+  void scoreOrFinish(ItemExecution execution, List<JobAction> actions) {
+    if (execution.item.score() == null) {
+      finish(execution, true, "", actions);
     } else {
-      score(run, actions);
+      score(execution, actions);
     }
   }
 
-  private void score(ItemExecution run, List<JobAction> actions) {
-    run.phase = ItemExecution.Phase.SCORING;
-    actions.add(new JobAction.Score(run.jobExecution.job.submission(), run.item));
+  private void score(ItemExecution execution, List<JobAction> actions) {
+    execution.phase = ItemExecution.Phase.SCORING;
+    actions.add(new JobAction.Score(execution.jobExecution.job.submission(), execution.item));
   }
 
-  /** The score of an item's text came. */
+  /** Finishes an item with its score. */
   List<JobAction> onScored(String job, String item, String score) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = findScoring(job, item);
-    if (run != null) {
-      finish(run, true, score, actions);
+    ItemExecution execution = findScoring(job, item);
+    if (execution != null) {
+      finish(execution, true, score, actions);
     }
     return actions;
   }
 
   /**
-   * An item's score did not come.
+   * Schedules a retry of a failed score request, or fails the item.
    *
-   * @param serverErrors answers of 500 that the request got this time
-   * @param mostServerErrors answers of 500 after which the item is given up
-   * @param pauseMillis time for which it makes no sense to ask again
+   * @param serverErrors number of 500 responses to this request
+   * @param maxServerErrors number of 500 responses at which the item fails
+   * @param pauseMillis minimum delay before the next request
    */
   List<JobAction> onScoreFailed(
       String job,
       String item,
       int serverErrors,
-      int mostServerErrors,
+      int maxServerErrors,
       long pauseMillis,
       long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = findScoring(job, item);
-    if (run == null) {
+    ItemExecution execution = findScoring(job, item);
+    if (execution == null) {
       return actions;
     }
-    run.scoreErrors += serverErrors;
-    if (run.scoreErrors >= mostServerErrors) {
-      finish(run, false, "", actions);
+    execution.scoreErrors += serverErrors;
+    if (execution.scoreErrors >= maxServerErrors) {
+      finish(execution, false, "", actions);
     } else {
-      run.phase = ItemExecution.Phase.WAITING_FOR_SCORE;
-      run.retryAtMillis = nowMillis + Math.max(SCORE_RETRY_DELAY_MILLIS, pauseMillis);
+      execution.phase = ItemExecution.Phase.WAITING_FOR_SCORE;
+      execution.retryAtMillis = nowMillis + Math.max(SCORE_RETRY_DELAY_MILLIS, pauseMillis);
     }
     return actions;
   }
 
   private ItemExecution findScoring(String job, String item) {
     return jobs.item(job, item)
-        .filter(run -> run.phase == ItemExecution.Phase.SCORING)
+        .filter(execution -> execution.phase == ItemExecution.Phase.SCORING)
         .orElse(null);
   }
 
-  /** An item gets its result, which is to be written. */
-  void finish(ItemExecution run, boolean completed, String score, List<JobAction> actions) {
-    run.phase = ItemExecution.Phase.FINISHING;
+  /** Finishes an item and adds the action that records its result. */
+  void finish(ItemExecution execution, boolean completed, String score, List<JobAction> actions) {
+    execution.phase = ItemExecution.Phase.FINISHING;
     actions.add(
         new JobAction.Finish(
             new ItemResult(
-                run.jobExecution.job.id(),
-                run.item.id(),
+                execution.jobExecution.job.id(),
+                execution.item.id(),
                 completed,
-                completed ? run.text.data() : "",
-                completed ? run.text.versions() : List.of(),
+                completed ? execution.text.data() : "",
+                completed ? execution.text.versions() : List.of(),
                 score)));
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemGate.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemGate.java
@@ -3,9 +3,9 @@
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.JobSubmission;
 
-/** Holds items back that must not run now, whatever servers are free. */
+/** Admission check that can hold back items although servers are free. */
 @FunctionalInterface
 public interface ItemGate {
-  /** Whether a server may begin an item; to be asked right before it is sent, once. */
+  /** Returns whether an item may be sent to a server now; called once, right before sending. */
   boolean mayBegin(JobSubmission job, JobItem item);
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemHistory.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemHistory.java
@@ -3,17 +3,17 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * How an item came to its result at this node, for the log. Times in monotonic milliseconds; zero
- * where it did not come to that.
+ * Timings and counts of an item's processing at this node, for log lines. Times are in monotonic
+ * milliseconds; zero if the event did not occur.
  *
  * @param group group of the item
  * @param step step of its job
- * @param acceptedAtMillis when the job's acceptance was read
- * @param firstBegunAtMillis when its first generation here began
- * @param wholeAtMillis when its text was whole
- * @param events events of its text
- * @param attempts generations begun here
- * @param moves generations that were moved to another server
+ * @param acceptedAtMillis time at which the job's acceptance was read
+ * @param firstBegunAtMillis time at which its first generation was started
+ * @param wholeAtMillis time at which its text was complete
+ * @param events number of events of its text
+ * @param attempts number of generations started
+ * @param moves number of generations that were moved to another server
  * @param server server of the last generation
  */
 public record ItemHistory(
--- a/core/src/main/java/org/passhaven/core/job/ItemText.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemText.java
@@ -7,8 +7,8 @@
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
 /**
- * Text of one item as far as it is generated: its events, and the weight version that made each.
- * Not thread-safe.
+ * Generated text of one item: its events so far and the weight version that generated each. Not
+ * thread-safe.
  */
 public final class ItemText {
   private static final String SEPARATOR = "\n";
@@ -17,12 +17,12 @@
   private final List<String> events = new ArrayList<>();
   private final List<Long> versionByEvent = new ArrayList<>();
 
-  /** Hash of the text up to each event. */
+  /** Rolling hash of the text up to each event. */
   private final List<Long> hashByEvent = new ArrayList<>();
 
   private boolean complete;
 
-  /** Takes the next event; false if it is not the next one. */
+  /** Appends an event; returns false if its number is not the next one. */
   boolean append(long event, long version, String data) {
     if (event != lastEvent() + 1) {
       return false;
@@ -37,7 +37,7 @@
     versionByEvent.add(version);
   }
 
-  /** Hash of a text of which the part before its last event has the hash {@code before}. */
+  /** Returns the hash of a text whose part before the last event has the hash {@code before}. */
   private static long hash(long before, String data, long version) {
     return (before * HASH_MULTIPLIER + version) * HASH_MULTIPLIER + HASH.hashChars(data);
   }
@@ -47,18 +47,18 @@
   }
 
   /**
-   * Replaces what is known behind the part's first event; false if there is a gap before it, or
-   * another text.
+   * Replaces all events after {@code part.afterEvent()} by those of the part. Returns false if
+   * there is a gap before the part, or if it continues a different text.
    */
   boolean replaceAfter(TextPart part) {
     boolean isGap = part.afterEvent() > lastEvent() || part.afterEvent() < 0;
     if (isGap || hashUpTo(part.afterEvent()) != part.beforeHash()) {
       return false;
     }
-    int kept = (int) part.afterEvent();
-    events.subList(kept, events.size()).clear();
-    versionByEvent.subList(kept, versionByEvent.size()).clear();
-    hashByEvent.subList(kept, hashByEvent.size()).clear();
+    int keptEvents = (int) part.afterEvent();
+    events.subList(keptEvents, events.size()).clear();
+    versionByEvent.subList(keptEvents, versionByEvent.size()).clear();
+    hashByEvent.subList(keptEvents, hashByEvent.size()).clear();
     for (int i = 0; i < part.events().size(); i++) {
       add(part.events().get(i), part.versions().get(i));
     }
@@ -66,8 +66,8 @@
     return true;
   }
 
-  /** Events behind {@code afterEvent}, for the log. */
-  TextPart partAfter(long afterEvent, String job, String item, boolean isWhole) {
+  /** Returns the events after {@code afterEvent} as a part for the log. */
+  TextPart partAfter(long afterEvent, String job, String item, boolean isComplete) {
     int from = (int) afterEvent;
     return new TextPart(
         job,
@@ -76,12 +76,12 @@
         hashUpTo(afterEvent),
         events.subList(from, events.size()),
         versionByEvent.subList(from, events.size()),
-        isWhole);
+        isComplete);
   }
 
   /**
-   * Cuts a part between events so that no piece is longer than {@code maxChars}, unless a single
-   * event is; {@code eventChars} are added for each event.
+   * Splits a part between events into pieces of at most {@code maxChars} characters, unless a
+   * single event is longer. Each event counts {@code eventChars} more than its length.
    */
   public static List<TextPart> cut(TextPart part, long maxChars, int eventChars) {
     List<TextPart> pieces = new ArrayList<>();
@@ -91,14 +91,14 @@
     long reachedHash = beforeHash;
     for (int event = 0; event < part.events().size(); event++) {
       String data = part.events().get(event);
-      long added = (long) data.length() + eventChars;
-      if (event > from && chars + added > maxChars) {
+      long addedChars = (long) data.length() + eventChars;
+      if (event > from && chars + addedChars > maxChars) {
         pieces.add(slice(part, from, event, beforeHash));
         from = event;
         chars = 0;
         beforeHash = reachedHash;
       }
-      chars += added;
+      chars += addedChars;
       reachedHash = hash(reachedHash, data, part.versions().get(event));
     }
     pieces.add(slice(part, from, part.events().size(), beforeHash));
@@ -124,7 +124,7 @@
     return events.isEmpty();
   }
 
-  /** Whether the text was read from the log as complete. */
+  /** Returns whether the text was read from the log as complete. */
   boolean isComplete() {
     return complete;
   }
@@ -133,17 +133,17 @@
     return String.join(SEPARATOR, events);
   }
 
-  /** Versions that made the text, rising, each once. */
+  /** Returns the distinct weight versions of the text in ascending order. */
   List<Long> versions() {
     return new ArrayList<>(new TreeSet<>(versionByEvent));
   }
 
-  /** Whether all of the text was made by allowed versions. */
+  /** Returns whether allowed weight versions generated all of the text. */
   boolean usesAllowedVersions(long oldestVersion, boolean singleVersion) {
     if (isEmpty()) {
       return true;
     }
-    List<Long> made = versions();
-    return made.get(0) >= oldestVersion && (!singleVersion || made.size() == 1);
+    List<Long> versions = versions();
+    return versions.get(0) >= oldestVersion && (!singleVersion || versions.size() == 1);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/Job.java
+++ b/core/src/main/java/org/passhaven/core/job/Job.java
@@ -10,7 +10,7 @@
 import org.passhaven.protocol.job.JobRecord.ItemFinished;
 import org.passhaven.protocol.job.JobSubmission;
 
-/** State of one accepted job: a part of the fold. Changed by {@link JobTable} only. */
+/** State of one accepted job. Only {@link JobTable} modifies it. Not thread-safe. */
 public final class Job {
   private final JobSubmission submission;
   private final long acceptedAtMillis;
@@ -35,52 +35,52 @@
   }
 
   boolean markEnded() {
-    boolean first = !ended;
+    boolean isFirstEnd = !ended;
     ended = true;
-    return first;
+    return isFirstEnd;
   }
 
-  /** Name of the job. */
+  /** Returns the id of the job. */
   public String id() {
     return submission.id();
   }
 
-  /** What was handed in. */
+  /** Returns the submission as the caller sent it. */
   public JobSubmission submission() {
     return submission;
   }
 
-  /** When this node read the acceptance, in its monotonic milliseconds. */
+  /** Returns the time at which this node read the acceptance, in monotonic milliseconds. */
   public long acceptedAtMillis() {
     return acceptedAtMillis;
   }
 
-  /** Results in the order of their positions. */
+  /** Returns the results in order of their positions. */
   public List<ItemFinished> results() {
     return Collections.unmodifiableList(results);
   }
 
-  /** Whether an item has a result. */
+  /** Returns whether an item has a result. */
   public boolean hasResult(String item) {
     return positionByItem.containsKey(item);
   }
 
-  /** An item of the job; null if there is none of that name. */
+  /** Returns an item of the job; null if there is none with that id. */
   public JobItem item(String id) {
     return items.get(id);
   }
 
-  /** Whether the caller ended the job. */
+  /** Returns whether the caller ended the job. */
   public boolean ended() {
     return ended;
   }
 
-  /** Whether items are still to be run. */
+  /** Returns whether the job has not ended and has items without a result. */
   public boolean isOpen() {
     return !ended && openItems() > 0;
   }
 
-  /** Number of items that have no result. */
+  /** Returns the number of items without a result. */
   public int openItems() {
     return items.size() - positionByItem.size();
   }
--- a/core/src/main/java/org/passhaven/core/job/JobAction.java
+++ b/core/src/main/java/org/passhaven/core/job/JobAction.java
@@ -5,14 +5,14 @@
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.JobSubmission;
 
-/** What the runner of jobs is to do. */
+/** Action that the {@link JobScheduler} requests; the node executes it. */
 public sealed interface JobAction {
   /**
-   * Begin a generation, or continue it after an event.
+   * Start a generation, or continue one after an event.
    *
-   * @param attempt names the generation in all that is told of it
-   * @param lastEvent event to continue after; zero from the beginning
-   * @param priority 0 to 9, 0 first
+   * @param attempt id of the generation in all later notifications
+   * @param lastEvent number of the event to continue after; zero to start from the beginning
+   * @param priority priority from 0, the highest, to 9
    */
   record Start(
       long attempt,
@@ -23,12 +23,12 @@
       int priority)
       implements JobAction {}
 
-  /** Close a generation's connection; nothing more is told of it. */
+  /** Close a generation's connection; its later events are ignored. */
   record Stop(long attempt, String why) implements JobAction {}
 
   /** Send the request that scores an item's text. */
   record Score(JobSubmission job, JobItem item) implements JobAction {}
 
-  /** Append the result of an item. */
+  /** Append the result of an item to the log. */
   record Finish(ItemResult result) implements JobAction {}
 }
--- a/core/src/main/java/org/passhaven/core/job/JobExecution.java
+++ b/core/src/main/java/org/passhaven/core/job/JobExecution.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
-/** The items of one job that this node runs. Not thread-safe. */
+/** Execution of one job at this node: its policy and the progress of its items. Not thread-safe. */
 final class JobExecution {
   final Job job;
   JobPolicy policy;
@@ -21,27 +21,31 @@
         .items()
         .forEach(
             item -> {
-              ItemExecution run = new ItemExecution(this, item);
+              ItemExecution execution = new ItemExecution(this, item);
               if (job.hasResult(item.id())) {
-                run.phase = ItemExecution.Phase.DONE;
+                execution.phase = ItemExecution.Phase.DONE;
               }
-              items.putIfAbsent(item.id(), run);
+              items.putIfAbsent(item.id(), execution);
             });
     startOrder = new ArrayList<>(items.values());
-    startOrder.sort(Comparator.comparingLong((ItemExecution run) -> -run.item.expectedTokens()));
+    startOrder.sort(
+        Comparator.comparingLong((ItemExecution execution) -> -execution.item.expectedTokens()));
   }
 
   /**
-   * Items that wait for a server, the longest first: a group ends with its longest item, and the
-   * others of it need not begin before longer ones of other groups.
+   * Returns the items that wait for a server, the longest first, since a group is complete only
+   * with its longest item.
    */
   List<ItemExecution> itemsToStart(long nowMillis) {
     return startOrder.stream()
-        .filter(run -> run.phase == ItemExecution.Phase.WAITING && run.retryAtMillis <= nowMillis)
+        .filter(
+            execution ->
+                execution.phase == ItemExecution.Phase.WAITING
+                    && execution.retryAtMillis <= nowMillis)
         .toList();
   }
 
-  /** What the log lacks of the texts; counts as being there from now on. */
+  /** Returns the parts of texts that are not in the log and marks them as saved. */
   List<TextPart> takeUnsaved() {
     return items.values().stream()
         .filter(ItemExecution::isUnsaved)
@@ -50,6 +54,7 @@
   }
 
   boolean isDone() {
-    return items.values().stream().allMatch(run -> run.phase == ItemExecution.Phase.DONE);
+    return items.values().stream()
+        .allMatch(execution -> execution.phase == ItemExecution.Phase.DONE);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/JobPolicy.java
+++ b/core/src/main/java/org/passhaven/core/job/JobPolicy.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * What the configuration says of a job's route.
+ * Settings of the route of a job.
  *
- * @param service service that generates
- * @param maxServerErrors answers of 500 after which an item is given up
- * @param singleVersion whether a text must come from one weight version
- * @param priority rank of the route, 0 first
- * @param giveUpMillis age of a job at which its items are given up; zero for never
+ * @param service service whose servers generate the texts
+ * @param maxServerErrors number of 500 responses at which an item fails
+ * @param singleVersion whether a single weight version must generate all of a text
+ * @param priority priority of the route; 0 is the highest
+ * @param giveUpMillis age of a job at which its items without a complete text fail; zero for never
  */
 public record JobPolicy(
     String service, int maxServerErrors, boolean singleVersion, int priority, long giveUpMillis) {
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -14,15 +14,16 @@
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
 /**
- * Decisions of the node that runs jobs: which item generates where, when it moves on to another
- * server, when its text is scored, what its result is. Text lives here only until its result is in
- * the log; a successor generates it anew. Times in monotonic milliseconds. Not thread-safe.
+ * Schedules the items of the jobs that this node owns: chooses the server of each generation, moves
+ * generations from stalled or slow servers, requests scores and creates results. Texts are held in
+ * memory until the log has the item's result; unfinished texts are saved for a new owner through
+ * {@link #takeUnsavedTexts}. Performs no I/O. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class JobScheduler {
-  /** Why a generation is stopped that moves from a slow server. */
+  /** Reason of {@link JobAction.Stop} for a generation that moves from a slow server. */
   public static final String SLOW_SERVER = "slow server";
 
-  /** Why a generation is stopped that has stalled. */
+  /** Reason of {@link JobAction.Stop} for a stalled generation. */
   public static final String STALLED = "stalled";
 
   private static final int MAX_MOVES = 6;
@@ -33,19 +34,19 @@
   private static final long MISDIRECTED_SERVER_AVOIDANCE_MILLIS = 1_000;
   private static final long RETRY_DELAY_MILLIS = 40;
 
-  /** What is known of a generation that ended without its whole text. */
+  /** Reason why a generation ended without its complete text. */
   public enum Failure {
-    /** The server did not take it. */
+    /** The server refused the request. */
     REFUSED,
-    /** Not the server or version that was meant. */
+    /** Another server or weight version than requested answered. */
     MISDIRECTED,
-    /** The server failed on it. */
+    /** The server answered with an error. */
     SERVER_ERROR,
-    /** It can never be done. */
+    /** The request can never succeed. */
     IMPOSSIBLE,
-    /** The server was not reached, or the stream broke off. */
+    /** The server was unreachable, or the connection was lost. */
     CUT,
-    /** The connection was silent, as others were; the server may be as good as any. */
+    /** Several connections were silent at once, so the server is not the likely cause. */
     SILENT
   }
 
@@ -60,132 +61,136 @@
   private final ItemGate gate;
   private long nextAttempt = 1;
 
-  /** Creates the scheduler of a node in {@code zone} that holds no item back. */
+  /** Creates a scheduler in {@code zone} without an admission check. */
   public JobScheduler(String zone) {
     this("", zone, (job, item) -> true);
   }
 
-  /** Creates the scheduler of a node in {@code zone}. */
+  /** Creates the scheduler of {@code node} in {@code zone}. */
   public JobScheduler(String node, String zone, ItemGate gate) {
     this.gate = Objects.requireNonNull(gate, "gate");
     this.picker = new GenerationPicker(node, zone, view, lengths);
   }
 
-  /** What is known of the servers, from this node and from others. */
+  /** Returns the load and speed of the servers, as this node and its peers observe them. */
   public ServerView serverView() {
     return view;
   }
 
-  /** Whether this node runs a job. */
+  /** Returns whether this node runs a job. */
   public boolean isRunning(String job) {
     return jobs.get(job) != null;
   }
 
-  /** Whether this node runs a job and one of its items has no result yet. */
+  /** Returns whether this node runs a job and the item has no result yet. */
   public boolean isOpen(String job, String item) {
-    return jobs.item(job, item).filter(run -> run.phase != ItemExecution.Phase.DONE).isPresent();
+    return jobs.item(job, item)
+        .filter(execution -> execution.phase != ItemExecution.Phase.DONE)
+        .isPresent();
   }
 
-  /** How an item came to where it is; empty if its job does not run here. */
+  /** Returns the processing history of an item; empty if this node does not run its job. */
   public Optional<ItemHistory> historyOf(String job, String item) {
     return jobs.item(job, item).map(ItemExecution::history);
   }
 
-  /** Whether this node runs any job. */
+  /** Returns whether this node runs any job. */
   public boolean hasJobs() {
     return !jobs.isEmpty();
   }
 
-  /** Names of the jobs that this node runs. */
+  /** Returns the ids of the jobs that this node runs. */
   public List<String> running() {
     return jobs.ids();
   }
 
   /**
-   * Begins to run a job, or takes in what the configuration now says of it.
+   * Starts a job, or updates the policy of a job that is already running.
    *
-   * @param texts what an earlier runner left in the log
+   * @param texts texts that an earlier owner saved in the log
    */
   public void take(Job job, JobPolicy policy, TextTable texts) {
-    JobExecution known = jobs.get(job.id());
-    if (known != null) {
-      known.policy = policy;
+    JobExecution running = jobs.get(job.id());
+    if (running != null) {
+      running.policy = policy;
       return;
     }
-    JobExecution work = new JobExecution(job, policy);
-    jobs.put(work);
-    for (ItemExecution run : work.items.values()) {
-      textCache.restore(run);
-      TextCache.restoreFromLog(run, texts);
+    JobExecution jobExecution = new JobExecution(job, policy);
+    jobs.put(jobExecution);
+    for (ItemExecution execution : jobExecution.items.values()) {
+      textCache.restore(execution);
+      TextCache.restoreFromLog(execution, texts);
     }
   }
 
   /**
-   * Takes what the log lacks of a run's texts, for the runner that follows this one. It counts as
-   * being there unless {@link #onTextsNotSaved} says otherwise.
+   * Returns the parts of a run's texts that are not in the log, to be saved for a new owner. They
+   * are considered saved unless they are passed to {@link #onTextsNotSaved}.
    */
   public List<TextPart> takeUnsavedTexts(String run) {
     return jobs.takeUnsavedTexts(run);
   }
 
-  /** The log may not have taken parts that {@link #takeUnsavedTexts} gave. */
+  /** Marks parts returned by {@link #takeUnsavedTexts} as unsaved, since their append failed. */
   public void onTextsNotSaved(List<TextPart> parts) {
     for (TextPart part : parts) {
-      jobs.item(part.job(), part.item()).ifPresent(run -> run.markUnsavedAfter(part.afterEvent()));
+      jobs.item(part.job(), part.item())
+          .ifPresent(execution -> execution.markUnsavedAfter(part.afterEvent()));
     }
   }
 
-  /** Runs a job no longer: it was ended, or another node runs it. Its text so far is kept. */
+  /** Stops a job that has ended or has another owner, and caches its unfinished texts. */
   public List<JobAction> drop(String job, String why) {
     List<JobAction> actions = new ArrayList<>();
-    JobExecution work = jobs.remove(job);
-    if (work == null) {
+    JobExecution jobExecution = jobs.remove(job);
+    if (jobExecution == null) {
       return actions;
     }
-    for (ItemExecution run : work.items.values()) {
-      boolean whole = run.hasCompleteText();
-      stop(run, why, actions);
-      if (!run.text.isEmpty() && run.phase != ItemExecution.Phase.DONE) {
-        textCache.put(run, whole);
+    for (ItemExecution execution : jobExecution.items.values()) {
+      boolean isComplete = execution.hasCompleteText();
+      stop(execution, why, actions);
+      if (!execution.text.isEmpty() && execution.phase != ItemExecution.Phase.DONE) {
+        textCache.put(execution, isComplete);
       }
-      run.phase = ItemExecution.Phase.DONE;
+      execution.phase = ItemExecution.Phase.DONE;
     }
     return actions;
   }
 
-  /** An item's result was read from the log, whoever wrote it. */
+  /** Handles an item's result that was read from the log, written by any node. */
   public List<JobAction> onListed(String job, String item) {
     List<JobAction> actions = new ArrayList<>();
-    JobExecution work = jobs.get(job);
-    ItemExecution run = work == null ? null : work.items.get(item);
-    if (run != null) {
-      stop(run, "listed", actions);
-      run.phase = ItemExecution.Phase.DONE;
-      if (work.isDone()) {
+    JobExecution jobExecution = jobs.get(job);
+    ItemExecution execution = jobExecution == null ? null : jobExecution.items.get(item);
+    if (execution != null) {
+      stop(execution, "listed", actions);
+      execution.phase = ItemExecution.Phase.DONE;
+      if (jobExecution.isDone()) {
         jobs.remove(job);
       }
     }
     return actions;
   }
 
-  private void stop(ItemExecution run, String why, List<JobAction> actions) {
-    if (run.phase == ItemExecution.Phase.GENERATING) {
-      actions.add(new JobAction.Stop(run.attempt, why));
-      releaseServer(run);
+  private void stop(ItemExecution execution, String why, List<JobAction> actions) {
+    if (execution.phase == ItemExecution.Phase.GENERATING) {
+      actions.add(new JobAction.Stop(execution.attempt, why));
+      releaseServer(execution);
     }
   }
 
-  private void releaseServer(ItemExecution run) {
-    generating.remove(run.attempt);
-    health.onEnded(run.server);
-    if (!run.accepted) {
-      picker.removePending(run);
+  private void releaseServer(ItemExecution execution) {
+    generating.remove(execution.attempt);
+    health.onEnded(execution.server);
+    if (!execution.accepted) {
+      picker.removePending(execution);
     }
-    run.phase = ItemExecution.Phase.WAITING;
+    execution.phase = ItemExecution.Phase.WAITING;
   }
 
   /**
-   * All that is due now: items given up, generations moved, generations and scores begun.
+   * Returns the actions that are due now: failing expired items, moving generations, and starting
+   * generations and score requests.
    *
    * @param newest newest weight version by model
    */
@@ -194,210 +199,223 @@
     List<JobAction> actions = new ArrayList<>();
     ReadyServers ready = new ReadyServers(servers, newest);
     picker.beginRound(ready, nowMillis);
-    for (JobExecution work : jobs.byUrgency()) {
-      failExpiredItems(work, nowMillis, actions);
-      finisher.retryScores(work, nowMillis, actions);
-      int priority = jobs.priorityOf(work);
-      for (ItemExecution run : work.itemsToStart(nowMillis)) {
+    for (JobExecution jobExecution : jobs.byUrgency()) {
+      failExpiredItems(jobExecution, nowMillis, actions);
+      finisher.retryScores(jobExecution, nowMillis, actions);
+      int priority = jobs.priorityOf(jobExecution);
+      for (ItemExecution execution : jobExecution.itemsToStart(nowMillis)) {
         picker
-            .choose(run, nowMillis)
-            .filter(server -> mayBegin(run))
-            .ifPresent(server -> startGeneration(run, server, priority, nowMillis, actions));
+            .choose(execution, nowMillis)
+            .filter(server -> mayBegin(execution))
+            .ifPresent(server -> startGeneration(execution, server, priority, nowMillis, actions));
       }
     }
-    for (ItemExecution run : List.copyOf(generating.values())) {
-      moveIfStalledOrSlow(run, nowMillis, actions);
+    for (ItemExecution execution : List.copyOf(generating.values())) {
+      moveIfStalledOrSlow(execution, nowMillis, actions);
     }
     return actions;
   }
 
-  private void failExpiredItems(JobExecution work, long nowMillis, List<JobAction> actions) {
-    long limit = work.policy.giveUpMillis();
-    if (limit <= 0 || nowMillis - work.job.acceptedAtMillis() < limit) {
+  private void failExpiredItems(
+      JobExecution jobExecution, long nowMillis, List<JobAction> actions) {
+    long limitMillis = jobExecution.policy.giveUpMillis();
+    if (limitMillis <= 0 || nowMillis - jobExecution.job.acceptedAtMillis() < limitMillis) {
       return;
     }
-    for (ItemExecution run : work.items.values()) {
-      if (run.phase == ItemExecution.Phase.WAITING || run.phase == ItemExecution.Phase.GENERATING) {
-        stop(run, "too old", actions);
-        finisher.finish(run, false, "", actions);
+    for (ItemExecution execution : jobExecution.items.values()) {
+      if (execution.phase == ItemExecution.Phase.WAITING
+          || execution.phase == ItemExecution.Phase.GENERATING) {
+        stop(execution, "too old", actions);
+        finisher.finish(execution, false, "", actions);
       }
     }
   }
 
-  private boolean mayBegin(ItemExecution run) {
-    return gate.mayBegin(run.jobExecution.job.submission(), run.item);
+  private boolean mayBegin(ItemExecution execution) {
+    return gate.mayBegin(execution.jobExecution.job.submission(), execution.item);
   }
 
   private void startGeneration(
-      ItemExecution run,
+      ItemExecution execution,
       ServerEntry server,
       int priority,
       long nowMillis,
       List<JobAction> actions) {
-    run.startAttempt(nextAttempt++, server.start(), nowMillis);
-    generating.put(run.attempt, run);
+    execution.startAttempt(nextAttempt++, server.start(), nowMillis);
+    generating.put(execution.attempt, execution);
     health.onSent(server.start());
-    picker.onSent(run);
-    picker.rememberServerOfGroup(run.item.group(), server.start());
+    picker.onSent(execution);
+    picker.rememberServerOfGroup(execution.item.group(), server.start());
     actions.add(
         new JobAction.Start(
-            run.attempt,
+            execution.attempt,
             server,
-            run.jobExecution.job.submission(),
-            run.item,
-            run.text.lastEvent(),
+            execution.jobExecution.job.submission(),
+            execution.item,
+            execution.text.lastEvent(),
             priority));
   }
 
-  /** Moves a generation that has stalled, or whose server is slow or leaves, if there is room. */
-  private void moveIfStalledOrSlow(ItemExecution run, long nowMillis, List<JobAction> actions) {
-    long patience = run.version == 0 ? FIRST_EVENT_TIMEOUT_MILLIS : NEXT_EVENT_TIMEOUT_MILLIS;
-    if (nowMillis - run.lastProgressAtMillis >= patience) {
-      health.avoid(run.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
-      stop(run, STALLED, actions);
-      run.moves++;
+  /** Stops a stalled generation, and moves one from a slow server if a faster one has a slot. */
+  private void moveIfStalledOrSlow(
+      ItemExecution execution, long nowMillis, List<JobAction> actions) {
+    long timeoutMillis =
+        execution.version == 0 ? FIRST_EVENT_TIMEOUT_MILLIS : NEXT_EVENT_TIMEOUT_MILLIS;
+    if (nowMillis - execution.lastProgressAtMillis >= timeoutMillis) {
+      health.avoid(execution.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
+      stop(execution, STALLED, actions);
+      execution.moves++;
       return;
     }
-    boolean settled = nowMillis - run.startedAtMillis >= MIN_MILLIS_BEFORE_MOVE;
-    if (!settled || run.moves >= MAX_MOVES) {
+    boolean isMovable = nowMillis - execution.startedAtMillis >= MIN_MILLIS_BEFORE_MOVE;
+    if (!isMovable || execution.moves >= MAX_MOVES) {
       return;
     }
-    Optional<ServerEntry> better = picker.chooseFaster(run, nowMillis);
-    if (better.isPresent() && mayBegin(run)) {
-      stop(run, SLOW_SERVER, actions);
-      run.moves++;
-      startGeneration(run, better.get(), jobs.priorityOf(run.jobExecution), nowMillis, actions);
+    Optional<ServerEntry> fasterServer = picker.chooseFaster(execution, nowMillis);
+    if (fasterServer.isPresent() && mayBegin(execution)) {
+      stop(execution, SLOW_SERVER, actions);
+      execution.moves++;
+      startGeneration(
+          execution,
+          fasterServer.get(),
+          jobs.priorityOf(execution.jobExecution),
+          nowMillis,
+          actions);
     }
   }
 
-  /** A server began a generation under a weight version; zero if it names none. */
+  /** Handles the acceptance of a generation; {@code version} is zero if the server sent none. */
   public List<JobAction> onBegan(long attempt, long version, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = generating.get(attempt);
-    if (run != null && !run.accepted) {
-      run.accepted = true;
-      picker.onAccepted(run);
+    ItemExecution execution = generating.get(attempt);
+    if (execution != null && !execution.accepted) {
+      execution.accepted = true;
+      picker.onAccepted(execution);
     }
-    // A continuation behind the last event has nothing to name a version for.
-    if (run != null && version != 0) {
-      acceptVersion(run, version, nowMillis, actions);
+    // A continuation after the last event generates nothing and has no version.
+    if (execution != null && version != 0) {
+      acceptVersion(execution, version, nowMillis, actions);
     }
     return actions;
   }
 
   private boolean acceptVersion(
-      ItemExecution run, long version, long nowMillis, List<JobAction> actions) {
-    run.version = version;
-    boolean tooOld = version < run.jobExecution.job.submission().oldestVersion();
-    List<Long> made = run.text.versions();
-    boolean mixed =
-        run.jobExecution.policy.singleVersion() && !made.isEmpty() && made.get(0) != version;
-    if (!tooOld && !mixed) {
+      ItemExecution execution, long version, long nowMillis, List<JobAction> actions) {
+    execution.version = version;
+    boolean isTooOld = version < execution.jobExecution.job.submission().oldestVersion();
+    List<Long> textVersions = execution.text.versions();
+    boolean isMixed =
+        execution.jobExecution.policy.singleVersion()
+            && !textVersions.isEmpty()
+            && textVersions.get(0) != version;
+    if (!isTooOld && !isMixed) {
       return true;
     }
-    stop(run, "version " + version + (tooOld ? " is too old" : " is another one"), actions);
-    if (mixed) {
-      run.restartText();
+    stop(execution, "version " + version + (isTooOld ? " is too old" : " is another one"), actions);
+    if (isMixed) {
+      execution.restartText();
     } else {
-      health.avoid(run.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
+      health.avoid(execution.server, STALLED_SERVER_AVOIDANCE_MILLIS, nowMillis);
     }
     return false;
   }
 
-  /** An event came; {@code version} is zero if it is the same as before. */
+  /** Appends an event to its text; {@code version} is zero if it has not changed. */
   public List<JobAction> onEvent(
       long attempt, long event, long version, String data, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = generating.get(attempt);
-    if (run == null) {
+    ItemExecution execution = generating.get(attempt);
+    if (execution == null) {
       return actions;
     }
-    if (version != 0 && !acceptVersion(run, version, nowMillis, actions)) {
+    if (version != 0 && !acceptVersion(execution, version, nowMillis, actions)) {
       return actions;
     }
-    if (run.version == 0) {
-      stop(run, "no version is known", actions);
-      health.onFailure(run.server, nowMillis);
+    if (execution.version == 0) {
+      stop(execution, "no version is known", actions);
+      health.onFailure(execution.server, nowMillis);
       return actions;
     }
-    boolean first = run.lastProgressAtMillis == run.startedAtMillis;
-    if (!first) {
-      view.intervals().onInterval(run.server, nowMillis - run.lastProgressAtMillis, nowMillis);
+    boolean isFirstEvent = execution.lastProgressAtMillis == execution.startedAtMillis;
+    if (!isFirstEvent) {
+      view.intervalTracker()
+          .onInterval(execution.server, nowMillis - execution.lastProgressAtMillis, nowMillis);
     }
-    run.lastProgressAtMillis = nowMillis;
-    if (!run.text.append(event, run.version, data)) {
-      stop(run, "event out of order", actions);
-      health.onFailure(run.server, nowMillis);
+    execution.lastProgressAtMillis = nowMillis;
+    if (!execution.text.append(event, execution.version, data)) {
+      stop(execution, "event out of order", actions);
+      health.onFailure(execution.server, nowMillis);
     }
     return actions;
   }
 
-  /** A generation has ended with its whole text. */
+  /** Handles a generation that completed its text. */
   public List<JobAction> onWhole(long attempt, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = generating.get(attempt);
-    if (run == null) {
+    ItemExecution execution = generating.get(attempt);
+    if (execution == null) {
       return actions;
     }
-    health.onSuccess(run.server, nowMillis - run.startedAtMillis, nowMillis);
-    run.textCompletedAtMillis = nowMillis;
-    lengths.onCompleted(run.item.expectedTokens(), run.text.lastEvent());
-    releaseServer(run);
-    finisher.scoreOrFinish(run, actions);
+    health.onSuccess(execution.server, nowMillis - execution.startedAtMillis, nowMillis);
+    execution.textCompletedAtMillis = nowMillis;
+    lengths.onCompleted(execution.item.expectedTokens(), execution.text.lastEvent());
+    releaseServer(execution);
+    finisher.scoreOrFinish(execution, actions);
     return actions;
   }
 
-  /** A generation has ended without its whole text. */
+  /** Handles a generation that ended without its complete text. */
   public List<JobAction> onFailed(long attempt, Failure failure, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
-    ItemExecution run = generating.get(attempt);
-    if (run == null) {
+    ItemExecution execution = generating.get(attempt);
+    if (execution == null) {
       return actions;
     }
-    releaseServer(run);
-    run.retryAtMillis = nowMillis + RETRY_DELAY_MILLIS;
+    releaseServer(execution);
+    execution.retryAtMillis = nowMillis + RETRY_DELAY_MILLIS;
     switch (failure) {
-      case REFUSED -> picker.onRefused(run, nowMillis);
-      case MISDIRECTED -> health.avoid(run.server, MISDIRECTED_SERVER_AVOIDANCE_MILLIS, nowMillis);
-      case CUT -> health.onFailure(run.server, nowMillis);
-      case SERVER_ERROR -> run.serverErrors++;
-      case IMPOSSIBLE -> finisher.finish(run, false, "", actions);
-      case SILENT -> run.moves++;
+      case REFUSED -> picker.onRefused(execution, nowMillis);
+      case MISDIRECTED ->
+          health.avoid(execution.server, MISDIRECTED_SERVER_AVOIDANCE_MILLIS, nowMillis);
+      case CUT -> health.onFailure(execution.server, nowMillis);
+      case SERVER_ERROR -> execution.serverErrors++;
+      case IMPOSSIBLE -> finisher.finish(execution, false, "", actions);
+      case SILENT -> execution.moves++;
     }
-    if (run.serverErrors >= run.jobExecution.policy.maxServerErrors()
-        && run.phase == ItemExecution.Phase.WAITING) {
-      finisher.finish(run, false, "", actions);
+    if (execution.serverErrors >= execution.jobExecution.policy.maxServerErrors()
+        && execution.phase == ItemExecution.Phase.WAITING) {
+      finisher.finish(execution, false, "", actions);
     }
     return actions;
   }
 
-  /** The score of an item's text came. */
+  /** Finishes an item with its score. */
   public List<JobAction> onScored(String job, String item, String score) {
     return finisher.onScored(job, item, score);
   }
 
   /**
-   * An item's score did not come.
+   * Schedules a retry of a failed score request, or fails the item.
    *
-   * @param serverErrors answers of 500 that the request got this time
-   * @param mostServerErrors answers of 500 after which the item is given up
-   * @param pauseMillis time for which it makes no sense to ask again
+   * @param serverErrors number of 500 responses to this request
+   * @param maxServerErrors number of 500 responses at which the item fails
+   * @param pauseMillis minimum delay before the next request
    */
   public List<JobAction> onScoreFailed(
       String job,
       String item,
       int serverErrors,
-      int mostServerErrors,
+      int maxServerErrors,
       long pauseMillis,
       long nowMillis) {
-    return finisher.onScoreFailed(
-        job, item, serverErrors, mostServerErrors, pauseMillis, nowMillis);
+    return finisher.onScoreFailed(job, item, serverErrors, maxServerErrors, pauseMillis, nowMillis);
   }
 
-  /** Number of items by phase, for logs and metrics. */
+  /** Returns the number of items by phase, for logs and metrics. */
   public Map<String, Long> phases() {
     return jobs.items()
         .collect(
-            Collectors.groupingBy(run -> run.phase.name(), TreeMap::new, Collectors.counting()));
+            Collectors.groupingBy(
+                execution -> execution.phase.name(), TreeMap::new, Collectors.counting()));
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -15,19 +15,19 @@
 import org.passhaven.protocol.job.JobSubmission;
 
 /**
- * Fold of the records of jobs. All readers of a partition hold the same jobs, results and
- * positions. A record that says again what an earlier one said is ignored. Not thread-safe.
+ * Replicated state of the jobs of a partition, built by applying its records. All readers have the
+ * same jobs, results and positions. Duplicate records are ignored. Not thread-safe.
  */
 public final class JobTable {
-  /** What folding one record did to a job. */
+  /** Effect of applying one record. */
   public enum Effect {
-    /** A copy, or a record of an unknown job. */
+    /** The record is a duplicate, a piece of an incomplete job, or of an unknown job. */
     IGNORED,
-    /** The last piece of a job came whose whole can't be decoded: nobody can run or read it. */
+    /** All pieces of a job were read and can't be decoded, so that no node can run the job. */
     UNREADABLE,
-    /** The job is accepted. */
+    /** The job was accepted. */
     ACCEPTED,
-    /** An item got its result. */
+    /** The result of an item was added. */
     LISTED,
     /** The caller ended the job. */
     ENDED
@@ -36,15 +36,15 @@
   private record PartKey(String job, long attempt) {}
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Map<String, Job> open = new LinkedHashMap<>();
+  private final Map<String, Job> openJobs = new LinkedHashMap<>();
   private final Set<String> knownRuns = new HashSet<>();
   private final Map<PartKey, List<byte[]>> piecesByAppend = new HashMap<>();
   private final Map<String, Long> endedBeforeAcceptance = new HashMap<>();
 
-  /** Folds one record that was read at {@code nowMillis}. */
+  /** Applies one record that was read at {@code nowMillis}, in monotonic milliseconds. */
   public Effect apply(JobRecord.OfJob record, long nowMillis) {
-    if (record instanceof JobRecord.JobPart part) {
-      return onPart(part, nowMillis);
+    if (record instanceof JobRecord.JobPart piece) {
+      return onPart(piece, nowMillis);
     }
     Job job = jobs.get(record.job());
     if (job == null) {
@@ -65,34 +65,34 @@
 
   private void updateOpenJobs(Job job) {
     if (job.isOpen()) {
-      open.put(job.id(), job);
+      openJobs.put(job.id(), job);
     } else {
-      open.remove(job.id());
+      openJobs.remove(job.id());
     }
   }
 
-  private Effect onPart(JobRecord.JobPart part, long nowMillis) {
-    if (jobs.containsKey(part.job())) {
+  private Effect onPart(JobRecord.JobPart piece, long nowMillis) {
+    if (jobs.containsKey(piece.job())) {
       return Effect.IGNORED;
     }
-    PartKey key = new PartKey(part.job(), part.attempt());
+    PartKey key = new PartKey(piece.job(), piece.attempt());
     List<byte[]> pieces = piecesByAppend.computeIfAbsent(key, unused -> new ArrayList<>());
-    if (part.part() != pieces.size()) {
+    if (piece.part() != pieces.size()) {
       return Effect.IGNORED;
     }
-    pieces.add(part.content());
-    if (pieces.size() < part.parts()) {
+    pieces.add(piece.content());
+    if (pieces.size() < piece.parts()) {
       return Effect.IGNORED;
     }
-    piecesByAppend.keySet().removeIf(other -> other.job().equals(part.job()));
-    return accept(part.job(), pieces, nowMillis);
+    piecesByAppend.keySet().removeIf(other -> other.job().equals(piece.job()));
+    return accept(piece.job(), pieces, nowMillis);
   }
 
   private Effect accept(String id, List<byte[]> pieces, long nowMillis) {
-    ByteArrayOutputStream whole = new ByteArrayOutputStream();
-    pieces.forEach(whole::writeBytes);
+    ByteArrayOutputStream content = new ByteArrayOutputStream();
+    pieces.forEach(content::writeBytes);
     try {
-      Job job = new Job(Codec.decode(whole.toByteArray(), JobSubmission.class), nowMillis);
+      Job job = new Job(Codec.decode(content.toByteArray(), JobSubmission.class), nowMillis);
       jobs.put(id, job);
       knownRuns.add(job.submission().run());
       if (endedBeforeAcceptance.remove(id) != null) {
@@ -105,26 +105,26 @@
     }
   }
 
-  /** A job; null if it is unknown or forgotten. */
+  /** Returns a job; null if it is unknown or was removed. */
   public Job get(String id) {
     return jobs.get(id);
   }
 
-  /** Jobs with items still to be run, in the order of their acceptance. */
+  /** Returns the jobs with items to be run, in order of acceptance. */
   public Collection<Job> open() {
-    return open.values();
+    return openJobs.values();
   }
 
-  /** Whether some job of a run is known and not forgotten yet, open or not. */
+  /** Returns whether the table holds any job of a run, open or not. */
   public boolean hasJobsOf(String run) {
     return knownRuns.contains(run);
   }
 
-  /** Forgets what was accepted before {@code beforeMillis} and is not open. */
+  /** Removes jobs that were accepted before {@code beforeMillis} and are not open. */
   public void forget(long beforeMillis) {
     jobs.values().removeIf(job -> job.acceptedAtMillis() < beforeMillis && !job.isOpen());
     knownRuns.clear();
     jobs.values().forEach(job -> knownRuns.add(job.submission().run()));
-    endedBeforeAcceptance.values().removeIf(at -> at < beforeMillis);
+    endedBeforeAcceptance.values().removeIf(endedAtMillis -> endedAtMillis < beforeMillis);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/LengthEstimator.java
+++ b/core/src/main/java/org/passhaven/core/job/LengthEstimator.java
@@ -1,9 +1,9 @@
 package org.passhaven.core.job;
 
 /**
- * How many events an item's text will have, by the caller's hint and what hints came to so far.
- * Hints are right in the middle and often far off, so a text that is longer than expected counts as
- * half done. Not thread-safe.
+ * Estimates the number of events of an item's text from the caller's length hint and the ratio of
+ * events to hints in earlier texts, as exponentially weighted means. Single hints are imprecise, so
+ * a text that is longer than expected counts as half done. Not thread-safe.
  */
 final class LengthEstimator {
   private static final double DECAY_FACTOR = 0.995;
@@ -14,17 +14,17 @@
   private double totalEvents;
   private double itemCount;
 
-  /** An item's text is whole. */
-  void onCompleted(long expectedTokens, long madeEvents) {
-    totalEvents = totalEvents * DECAY_FACTOR + madeEvents;
+  /** Adds the length of a complete text to the means. */
+  void onCompleted(long expectedTokens, long eventCount) {
+    totalEvents = totalEvents * DECAY_FACTOR + eventCount;
     itemCount = itemCount * DECAY_FACTOR + 1;
     if (expectedTokens > 0) {
       hintedTokens = hintedTokens * DECAY_FACTOR + expectedTokens;
-      hintedEvents = hintedEvents * DECAY_FACTOR + madeEvents;
+      hintedEvents = hintedEvents * DECAY_FACTOR + eventCount;
     }
   }
 
-  /** Events that an item's text is expected to have. */
+  /** Returns the expected number of events of an item's text. */
   double expectedEvents(long expectedTokens) {
     if (expectedTokens > 0 && hintedTokens > 0) {
       return expectedTokens * hintedEvents / hintedTokens;
@@ -32,10 +32,10 @@
     return itemCount > 0 ? totalEvents / itemCount : DEFAULT_EVENTS;
   }
 
-  /** Events that are expected to come after {@code madeEvents}. */
-  double remainingEvents(long expectedTokens, long madeEvents) {
+  /** Returns the expected number of events after the first {@code eventCount}. */
+  double remainingEvents(long expectedTokens, long eventCount) {
     double expected = expectedEvents(expectedTokens);
-    double remaining = madeEvents < expected ? expected - madeEvents : madeEvents;
+    double remaining = eventCount < expected ? expected - eventCount : eventCount;
     return Math.max(MIN_REMAINING_EVENTS, remaining);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/NamedVersion.java
+++ b/core/src/main/java/org/passhaven/core/job/NamedVersion.java
@@ -1,14 +1,14 @@
 package org.passhaven.core.job;
 
 /**
- * Newest weight version of a model, as its trainer named it.
+ * Newest weight version of a model that its trainer announced.
  *
- * @param namedAtMillis when this node read the name, in its monotonic milliseconds
+ * @param namedAtMillis time at which this node read the announcement, in monotonic milliseconds
  */
 public record NamedVersion(long version, long namedAtMillis) {
   private static final long USUAL_LOAD_MILLIS = 1_200;
 
-  /** Whether a server that holds {@code heldVersion} should have had this version by now. */
+  /** Returns whether a server that holds {@code heldVersion} should have loaded this version. */
   public boolean isOverdueAt(long heldVersion, long nowMillis) {
     return heldVersion < version && nowMillis - namedAtMillis >= USUAL_LOAD_MILLIS;
   }
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -13,7 +13,7 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * Servers that take new work, and the weight versions named, as one round of decisions sees them.
+ * Servers that accept new work and the announced weight versions, fixed for one scheduling round.
  */
 final class ReadyServers {
   private final Map<ServerStart, ServerEntry> byStart = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
     return byStart.keySet();
   }
 
-  /** The entry of a server; null if it takes no new work. */
+  /** Returns the entry of a server; null if it accepts no new work. */
   ServerEntry get(ServerStart start) {
     return byStart.get(start);
   }
@@ -52,31 +52,31 @@
     return of(service).stream().map(ServerEntry::start).toList();
   }
 
-  /** Newest named weight version of a model; zero if none is named. */
+  /** Returns the newest announced weight version of a model; zero if there is none. */
   long newestVersionOf(String model) {
     NamedVersion newest = announcedVersions.get(model);
     return newest == null ? 0 : newest.version();
   }
 
-  /** Whether a server does not hold the newest weights of a model, so that it will load them. */
+  /** Returns whether a server has older weights than the newest announced ones of a model. */
   boolean lacksNewestWeights(ServerEntry server, String model) {
     return server.versionOf(model) < newestVersionOf(model);
   }
 
-  /** Newest weights of a model, if a server does not hold them. */
+  /** Returns the newest announced version of a model if a server does not hold it. */
   Optional<NamedVersion> missingVersion(ServerEntry server, String model) {
     return lacksNewestWeights(server, model)
         ? Optional.of(announcedVersions.get(model))
         : Optional.empty();
   }
 
-  /** Newest weights of a model that were just named, if a server may begin to load them. */
+  /** Returns the newest version of a model if a server is expected to load it soon. */
   Optional<NamedVersion> versionToLoad(ServerEntry server, String model, long nowMillis) {
     return missingVersion(server, model)
         .filter(newest -> !newest.isOverdueAt(server.versionOf(model), nowMillis));
   }
 
-  /** Whether a server still holds older weights of a model though newer ones are overdue. */
+  /** Returns whether a server should have loaded newer weights of a model by now. */
   boolean hasOverdueWeights(ServerEntry server, String model, long nowMillis) {
     NamedVersion newest = announcedVersions.get(model);
     return newest != null && newest.isOverdueAt(server.versionOf(model), nowMillis);
--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -9,47 +9,44 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * Which servers refuse generations of a model now, by their answers. A server that loads weights of
- * a model refuses that model until it has them. A server that may refuse, since it is about to load
- * or has just started, gets one generation first and more as it takes them, rather than a burst.
- * Times in monotonic milliseconds. Not thread-safe.
+ * Tracks which servers refuse generations of a model, and limits what is sent to them. A refusing
+ * server is retried after a backoff. A server that is likely to refuse, because it is about to load
+ * weights or has just started, gets a single generation first and more with each one it accepts
+ * (slow start). Times are in monotonic milliseconds. Not thread-safe.
  */
 final class RefusalTracker {
-  /** Pause after the refusal of a full server, which has room when one of its generations ends. */
+  /** Backoff after the refusal of a full server. */
   private static final long FULL_BACKOFF_MILLIS = 80;
 
-  /**
-   * Longest pause after refusals of a loading server, doubled at each one. It is asked again since
-   * the news that it has loaded may be late.
-   */
+  /** Maximum of the exponential backoff for a server that loads weights. */
   private static final long MAX_LOADING_BACKOFF_MILLIS = 320;
 
-  /** Time from the announcement of a version until a server that loads it at once holds it. */
+  /** Expected time from the announcement of a version until a server has loaded it. */
   private static final long EXPECTED_LOAD_MILLIS = 1_000;
 
   private final Map<Key, Backoff> backoffs = new HashMap<>();
 
-  /** Generations sent that the server has neither begun nor refused. */
+  /** Number of generations sent that the server has neither accepted nor refused. */
   private final Map<Key, Integer> pending = new HashMap<>();
 
-  /** Generations that a server has taken since it last refused one, under one newest version. */
+  /** Generations accepted since the last refusal. */
   private final Map<Key, AcceptedCount> accepted = new HashMap<>();
 
-  /** Servers that started while this node ran jobs and have taken nothing from it yet. */
+  /** Servers that appeared recently and have not accepted a generation of this node. */
   private final Set<ServerStart> newServers = new HashSet<>();
 
   private Set<ServerStart> knownServers = Set.of();
 
-  /** One model at one start of a server. */
+  /** Key of a model at one incarnation of a server. */
   private record Key(ServerStart start, String model) {}
 
-  /** Generations taken while a version was the newest one. */
+  /** Number of generations accepted while a version was the newest one. */
   private record AcceptedCount(long newestVersion, int generations) {}
 
-  /** The last refusal: the version held then, and when the server may be asked again. */
+  /** Backoff after a refusal: the version held then and the time of the next attempt. */
   private record Backoff(long heldVersion, long delayMillis, long untilMillis) {}
 
-  /** Forgets servers that are not listed any more, and notes those that are new. */
+  /** Removes servers that are no longer listed and marks added ones as new. */
   void retain(Set<ServerStart> starts) {
     if (knownServers.equals(starts)) {
       return;
@@ -64,18 +61,18 @@
     accepted.keySet().removeIf(key -> !starts.contains(key.start()));
   }
 
-  /** A generation was sent to a server. */
+  /** Counts a generation that was sent to a server as pending. */
   void onSent(ServerStart start, String model) {
     pending.merge(new Key(start, model), 1, Integer::sum);
   }
 
-  /** A generation that was sent was begun, refused or has failed. */
+  /** Stops counting a generation as pending: it was accepted, refused or has failed. */
   void removePending(ServerStart start, String model) {
     pending.computeIfPresent(new Key(start, model), (key, count) -> count > 1 ? count - 1 : null);
   }
 
   /**
-   * A server has begun a generation.
+   * Handles a generation that a server accepted.
    *
    * @param newest newest weight version of the model
    */
@@ -84,18 +81,18 @@
     removePending(start, model);
     backoffs.remove(key);
     newServers.remove(start);
-    accepted.put(key, new AcceptedCount(newest, acceptedSince(key, newest) + 1));
+    accepted.put(key, new AcceptedCount(newest, acceptedCount(key, newest) + 1));
   }
 
-  private int acceptedSince(Key key, long newest) {
+  private int acceptedCount(Key key, long newest) {
     AcceptedCount before = accepted.get(key);
     return before == null || before.newestVersion() != newest ? 0 : before.generations();
   }
 
   /**
-   * A server refused a generation: it is full, or loads weights.
+   * Starts or extends the backoff of a server that refused a generation.
    *
-   * @param heldVersion version of the model that it is known to hold
+   * @param heldVersion version of the model that the server is known to hold
    * @param newest newest weight version of the model, if the server does not hold it
    */
   void onRefused(
@@ -107,30 +104,30 @@
     Key key = new Key(start, model);
     accepted.remove(key);
     Backoff last = backoffs.get(key);
-    boolean isAgain = last != null && last.heldVersion() == heldVersion;
-    if (isAgain && nowMillis < last.untilMillis()) {
-      // Sent before the first refusal was known: it tells nothing new.
+    boolean isRepeated = last != null && last.heldVersion() == heldVersion;
+    if (isRepeated && nowMillis < last.untilMillis()) {
+      // The generation was sent before the first refusal arrived.
       return;
     }
-    long pause = FULL_BACKOFF_MILLIS;
-    if (isAgain && newest.isPresent()) {
-      pause = Math.min(MAX_LOADING_BACKOFF_MILLIS, 2 * last.delayMillis());
+    long delayMillis = FULL_BACKOFF_MILLIS;
+    if (isRepeated && newest.isPresent()) {
+      delayMillis = Math.min(MAX_LOADING_BACKOFF_MILLIS, 2 * last.delayMillis());
     }
-    long loadedAt =
-        newest.map(named -> named.namedAtMillis() + EXPECTED_LOAD_MILLIS).orElse(nowMillis);
-    long until = Math.max(nowMillis + pause, loadedAt);
-    backoffs.put(key, new Backoff(heldVersion, pause, until));
+    long loadedAtMillis =
+        newest.map(version -> version.namedAtMillis() + EXPECTED_LOAD_MILLIS).orElse(nowMillis);
+    long untilMillis = Math.max(nowMillis + delayMillis, loadedAtMillis);
+    backoffs.put(key, new Backoff(heldVersion, delayMillis, untilMillis));
   }
 
-  /** Whether a server refused the last generation of a model that it answered. */
+  /** Returns whether a server refused the last generation of a model that it answered. */
   boolean isRefusing(ServerEntry server, String model) {
     Backoff last = backoffs.get(new Key(server.start(), model));
     return last != null && last.heldVersion() == server.versionOf(model);
   }
 
   /**
-   * Whether a generation of a model may be sent to a server now. While refusals are likely, each
-   * generation that was taken raises the number of unanswered ones by one.
+   * Returns whether a generation of a model may be sent to a server now. While refusals are likely,
+   * each accepted generation raises the allowed number of pending ones by one.
    *
    * @param newest newest weight version of the model, if the server is about to load it
    */
@@ -140,10 +137,10 @@
     if (isRefusing && nowMillis < backoffs.get(key).untilMillis()) {
       return false;
     }
-    int waiting = pending.getOrDefault(key, 0);
+    int pendingCount = pending.getOrDefault(key, 0);
     if (isRefusing || newServers.contains(server.start())) {
-      return waiting == 0;
+      return pendingCount == 0;
     }
-    return newest.isEmpty() || waiting <= acceptedSince(key, newest.get().version());
+    return newest.isEmpty() || pendingCount <= acceptedCount(key, newest.get().version());
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -11,11 +11,11 @@
 import org.passhaven.protocol.job.JobRecord.RunTaken;
 
 /**
- * Which node runs the jobs of each run. A node keeps a run until it leaves or falls silent; then
- * the first live candidate takes it, and the next ones if that one does not. The log drops records
- * by age, so a runner writes its claim again well within that. The epoch of a claim is the offset
- * to which its writer had read, and one: no epoch is higher than the offset of its claim, so a
- * later one is above all that were used. Times in monotonic milliseconds. Not thread-safe.
+ * Tracks which node owns each run, that is, runs its jobs. An owner keeps a run until it leaves or
+ * its heartbeats stop; then the live candidates claim the run in order of their rank. The log drops
+ * old records, so owners renew their claims. The epoch of a claim is one more than the offset up to
+ * which its writer has read the stream; it is thus higher than all epochs before. Times are in
+ * monotonic milliseconds. Not thread-safe.
  */
 public final class RunOwners {
   private static final long CLAIM_RETRY_MILLIS = 600;
@@ -32,26 +32,26 @@
   private final Map<String, Long> lastClaimOffset = new HashMap<>();
 
   /**
-   * Creates the view of one start of a node.
+   * Creates the view of one incarnation of a node.
    *
-   * @param candidateKeyOf key by which the candidates for a run are ranked: its stream
+   * @param streamOf returns the stream of a run, which is also the key for ranking its candidates
    */
-  public RunOwners(String node, long incarnation, UnaryOperator<String> candidateKeyOf) {
+  public RunOwners(String node, long incarnation, UnaryOperator<String> streamOf) {
     this.node = Objects.requireNonNull(node, "node");
     this.incarnation = incarnation;
-    this.streamOf = Objects.requireNonNull(candidateKeyOf, "candidateKeyOf");
+    this.streamOf = Objects.requireNonNull(streamOf, "candidateKeyOf");
   }
 
   /**
-   * Folds a record that was read at {@code nowMillis}; true if the run has got another runner.
+   * Applies a claim that was read at {@code nowMillis}; returns true if the owner has changed.
    *
-   * @param offset place of the record in its stream
+   * @param offset offset of the record in its stream
    */
   public boolean apply(RunTaken record, long offset, long nowMillis) {
     String run = record.run();
-    long newest = lastClaimOffset.getOrDefault(run, -1L);
-    // The writer has read the runner's newest claim, or the log no longer has it.
-    boolean isValid = record.epoch() > epochOf(run) && newest < record.readTo();
+    long ownerOffset = lastClaimOffset.getOrDefault(run, -1L);
+    // A claim is valid only if its writer had read the owner's last claim.
+    boolean isValid = record.epoch() > epochOf(run) && ownerOffset < record.readTo();
     boolean isRenewal = isByCurrentOwner(record);
     if (!isValid && !isRenewal) {
       return false;
@@ -75,17 +75,17 @@
         && owner.incarnation() == record.incarnation();
   }
 
-  /** Records of a stream that were not read are gone: who runs its runs is unknown. */
+  /** Forgets the owners of a stream's runs, because records of the stream were missed. */
   public void onGap(String stream) {
     owners.keySet().removeIf(run -> streamOf.apply(run).equals(stream));
     lastClaimOffset.keySet().removeIf(run -> streamOf.apply(run).equals(stream));
   }
 
   /**
-   * Claims of this node's runs that the log is about to drop, to be appended again.
+   * Returns renewals of this node's claims, to be appended before the log drops the claims.
    *
-   * @param renewMillis age from which a claim is written again
-   * @param readTo offset up to which a stream was read, by its name
+   * @param renewMillis age at which a claim is renewed
+   * @param readTo returns the offset up to which a stream was read
    */
   public List<RunTaken> renewals(long renewMillis, ToLongFunction<String> readTo, long nowMillis) {
     return ownRuns().stream()
@@ -98,39 +98,36 @@
     return new RunTaken(run, epoch, node, incarnation, readTo);
   }
 
-  /** Epoch of a run's owner; zero if nobody has taken the run. */
+  /** Returns the epoch of a run's owner; zero if the run has no owner. */
   public long epochOf(String run) {
     RunTaken owner = owners.get(run);
     return owner == null ? 0 : owner.epoch();
   }
 
-  /** Whether this start of this node runs a run. */
+  /** Returns whether this incarnation of this node owns a run. */
   public boolean isOwn(String run) {
     RunTaken owner = owners.get(run);
     return owner != null && owner.node().equals(node) && owner.incarnation() == incarnation;
   }
 
-  /** Runs that some node has taken, whether it is alive or not. */
+  /** Returns the runs that have an owner, alive or not. */
   public List<String> runs() {
     return List.copyOf(owners.keySet());
   }
 
-  /** Runs that this start of this node runs. */
+  /** Returns the runs that this incarnation of this node owns. */
   public List<String> ownRuns() {
     return owners.keySet().stream().filter(this::isOwn).toList();
   }
 
-  /**
-   * Whether a run's owner is known to have left or to have been started anew, so that nobody needs
-   * to wait for a sign of it.
-   */
+  /** Returns whether a run's owner is known to have left or restarted. */
   public boolean isOwnerOver(String run, BeatTable beats) {
     RunTaken owner = owners.get(run);
     return owner != null && beats.isOver(owner.node(), owner.incarnation());
   }
 
   /**
-   * The record to append if this node is to take a run now.
+   * Returns the claim to append if this node should claim a run now.
    *
    * @param readTo offset up to which the run's stream was read
    */
@@ -140,21 +137,24 @@
       ownerlessSinceMillis.remove(run);
       return Optional.empty();
     }
-    long since = ownerlessSinceMillis.computeIfAbsent(run, name -> nowMillis);
-    long patience = beats.rankOf(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
-    Long claimed = claimedAtMillis.get(run);
-    boolean justClaimed = claimed != null && nowMillis - claimed < CLAIM_RETRY_MILLIS;
-    if (justClaimed || nowMillis - since < patience || !beats.isTaking(node, incarnation)) {
+    long sinceMillis = ownerlessSinceMillis.computeIfAbsent(run, name -> nowMillis);
+    long delayMillis = beats.rankOf(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
+    Long lastClaimMillis = claimedAtMillis.get(run);
+    boolean isClaimPending =
+        lastClaimMillis != null && nowMillis - lastClaimMillis < CLAIM_RETRY_MILLIS;
+    if (isClaimPending
+        || nowMillis - sinceMillis < delayMillis
+        || !beats.isTaking(node, incarnation)) {
       return Optional.empty();
     }
     claimedAtMillis.put(run, nowMillis);
     return Optional.of(newClaim(run, readTo + 1, readTo));
   }
 
-  /** A node may take a run before its first beat is read here: the record tells that it lives. */
+  /** Returns whether an owner is alive; a recent claim counts as a sign of life. */
   private boolean isOwnerAlive(RunTaken owner, BeatTable beats, long nowMillis) {
-    boolean hasJustTaken = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
+    boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
     return beats.isTaking(owner.node(), owner.incarnation())
-        || (hasJustTaken && !beats.isOver(owner.node(), owner.incarnation()));
+        || (isNewOwner && !beats.isOver(owner.node(), owner.incarnation()));
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/RunningJobs.java
+++ b/core/src/main/java/org/passhaven/core/job/RunningJobs.java
@@ -9,28 +9,28 @@
 import java.util.stream.Stream;
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
-/** The jobs that this node runs, in the order in which it took them. Not thread-safe. */
+/** The jobs that this node runs, in the order in which it started them. Not thread-safe. */
 final class RunningJobs {
   private static final int AWAITED_PRIORITY = 2;
   private static final int LATER_PRIORITY = 6;
   private static final int MAX_ROUTE_PRIORITY = 3;
   private final Map<String, JobExecution> jobs = new LinkedHashMap<>();
 
-  /** A job; null if it does not run here. */
+  /** Returns a job; null if this node does not run it. */
   JobExecution get(String job) {
     return jobs.get(job);
   }
 
-  /** An item of a job; empty if its job does not run here. */
+  /** Returns an item of a job; empty if this node does not run the job. */
   Optional<ItemExecution> item(String job, String item) {
-    return Optional.ofNullable(jobs.get(job)).map(work -> work.items.get(item));
+    return Optional.ofNullable(jobs.get(job)).map(execution -> execution.items.get(item));
   }
 
-  void put(JobExecution work) {
-    jobs.put(work.job.id(), work);
+  void put(JobExecution execution) {
+    jobs.put(execution.job.id(), execution);
   }
 
-  /** Takes a job out; null if it does not run here. */
+  /** Removes and returns a job; null if this node does not run it. */
   JobExecution remove(String job) {
     return jobs.remove(job);
   }
@@ -43,37 +43,40 @@
     return List.copyOf(jobs.keySet());
   }
 
-  /** All items. */
+  /** Returns the items of all jobs. */
   Stream<ItemExecution> items() {
-    return jobs.values().stream().map(work -> work.items.values()).flatMap(Collection::stream);
+    return jobs.values().stream()
+        .map(execution -> execution.items.values())
+        .flatMap(Collection::stream);
   }
 
-  /** Jobs that a trainer waits for first: the lowest step of each run before later ones. */
+  /** Returns the jobs in order of their steps, since trainers wait for the lowest step first. */
   List<JobExecution> byUrgency() {
     return jobs.values().stream()
-        .sorted(Comparator.comparingLong((JobExecution work) -> work.job.submission().step()))
+        .sorted(
+            Comparator.comparingLong((JobExecution execution) -> execution.job.submission().step()))
         .toList();
   }
 
-  /** Priority of a job's generations, 0 to 9, 0 first. */
-  int priorityOf(JobExecution work) {
-    String run = work.job.submission().run();
-    long step = work.job.submission().step();
-    boolean earlier =
+  /** Returns the priority of a job's generations, from 0, the highest, to 9. */
+  int priorityOf(JobExecution execution) {
+    String run = execution.job.submission().run();
+    long step = execution.job.submission().step();
+    boolean hasEarlierStep =
         jobs.values().stream()
             .anyMatch(
                 other ->
                     other.job.submission().run().equals(run)
                         && other.job.submission().step() < step);
-    int rank = Math.max(0, Math.min(MAX_ROUTE_PRIORITY, work.policy.priority()));
-    return rank + (earlier ? LATER_PRIORITY : AWAITED_PRIORITY);
+    int rank = Math.max(0, Math.min(MAX_ROUTE_PRIORITY, execution.policy.priority()));
+    return rank + (hasEarlierStep ? LATER_PRIORITY : AWAITED_PRIORITY);
   }
 
-  /** What the log lacks of a run's texts; counts as being there from now on. */
+  /** Returns the parts of a run's texts that are not in the log and marks them as saved. */
   List<TextPart> takeUnsavedTexts(String run) {
     return jobs.values().stream()
-        .filter(work -> work.job.submission().run().equals(run))
-        .flatMap(work -> work.takeUnsaved().stream())
+        .filter(execution -> execution.job.submission().run().equals(run))
+        .flatMap(execution -> execution.takeUnsaved().stream())
         .toList();
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -14,44 +14,41 @@
 import org.passhaven.protocol.member.ServerUse;
 
 /**
- * Load and speed of the servers that generate, from the generations of this node and from the
- * reports of other nodes that run jobs. Times in monotonic milliseconds. Not thread-safe.
+ * Load and speed of the model servers, observed at this node's generations and in the reports of
+ * its peers. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ServerView {
-  /** Assumed pause between events while nothing is known of any server of a service. */
+  /** Assumed interval between events if no server of a service has samples. */
   private static final double DEFAULT_INTERVAL_MILLIS = 40;
 
-  /** Expected time for which a server stays slower than its lasting pause. */
+  /** Expected remaining duration of a transient slowdown. */
   private static final double EXPECTED_SLOWDOWN_MILLIS = 600;
 
-  /** A server whose lasting pause exceeds the median one by this factor is logged as slow. */
+  /** Ratio to the median of its service from which on a server is reported as slow. */
   private static final double SLOW_SERVER_RATIO = 1.4;
 
   private final ServerHealth health = new ServerHealth();
-  private final EventIntervalTracker pace = new EventIntervalTracker();
+  private final EventIntervalTracker intervalTracker = new EventIntervalTracker();
   private final ServerUseTable peerReports = new ServerUseTable();
   private final Map<ServerStart, Intervals> intervalsByServer = new HashMap<>();
   private final Map<ServerStart, Integer> peerSlotsByServer = new HashMap<>();
   private final Set<ServerStart> slow = new HashSet<>();
 
-  /**
-   * Pauses between events in milliseconds: lasting and momentary of a server, median of its
-   * service.
-   */
+  /** Sustained and recent interval between events of a server, and the median of its service. */
   private record Intervals(
       double sustainedMillis, double recentMillis, double serviceMedianMillis) {}
 
-  /** Takes in another node's report of its generations at servers. */
-  public void onReport(String node, long incarnation, List<ServerUse> uses, long nowMillis) {
-    peerReports.onReport(node, incarnation, uses, nowMillis);
+  /** Stores a peer's report of its generations at servers. */
+  public void onReport(String node, long incarnation, List<ServerUse> report, long nowMillis) {
+    peerReports.onReport(node, incarnation, report, nowMillis);
   }
 
   /**
-   * This node's report for other nodes: the servers with most of its generations first. The more
-   * nodes report, the fewer servers each may report.
+   * Returns this node's report for its peers, with the servers of most generations first. The limit
+   * for each node decreases with the number of reporting nodes.
    *
-   * @param maxOfAll most servers in the reports of all nodes together
-   * @param max most servers in this report
+   * @param maxOfAll maximum number of servers in the reports of all nodes together
+   * @param max maximum number of servers in this report
    */
   public List<ServerUse> use(int maxOfAll, int max, long nowMillis) {
     long limit = Math.max(1, Math.min(max, maxOfAll / (peerReports.reportingNodes() + 1)));
@@ -66,23 +63,23 @@
   }
 
   private ServerUse toServerUse(ServerStart start, long nowMillis) {
-    int pauseMillis = (int) Math.round(pace.sustainedMillis(start, nowMillis));
+    int pauseMillis = (int) Math.round(intervalTracker.sustainedMillis(start, nowMillis));
     return new ServerUse(start.id(), start.bornMillis(), health.inProgress(start), pauseMillis);
   }
 
-  /** Whether other nodes report generations at servers. */
+  /** Returns whether peers report generations at servers. */
   boolean hasPeerReports() {
     return peerReports.reportingNodes() > 0;
   }
 
-  /** Servers whose lasting pause is much longer than the median one of their service. */
+  /** Returns the servers whose sustained interval is far above the median of their service. */
   public Set<ServerStart> slowServers() {
     return Set.copyOf(slow);
   }
 
-  /** Begins a round of decisions, in which the pauses stay the same. */
+  /** Begins a scheduling round, during which the intervals stay the same. */
   void beginRound(ReadyServers servers, long nowMillis) {
-    pace.retain(servers.starts());
+    intervalTracker.retain(servers.starts());
     health.retain(servers.starts());
     peerReports.forgetExpired(nowMillis);
     intervalsByServer.clear();
@@ -94,61 +91,64 @@
   }
 
   private void computeIntervals(List<ServerStart> starts, long nowMillis) {
-    Map<ServerStart, Double> lasting = new HashMap<>();
+    Map<ServerStart, Double> sustained = new HashMap<>();
     for (ServerStart start : starts) {
-      double own = pace.sustainedMillis(start, nowMillis);
-      lasting.put(start, own > 0 ? own : peerReports.pauseMillis(start, nowMillis));
+      double ownMillis = intervalTracker.sustainedMillis(start, nowMillis);
+      sustained.put(start, ownMillis > 0 ? ownMillis : peerReports.pauseMillis(start, nowMillis));
     }
-    double[] known = lasting.values().stream().mapToDouble(p -> p).filter(p -> p > 0).toArray();
+    double[] known = sustained.values().stream().mapToDouble(p -> p).filter(p -> p > 0).toArray();
     Arrays.sort(known);
     double median = known.length == 0 ? DEFAULT_INTERVAL_MILLIS : known[(known.length - 1) / 2];
     for (ServerStart start : starts) {
       peerSlotsByServer.put(start, (int) Math.round(peerReports.placesTaken(start, nowMillis)));
-      double reported = lasting.get(start);
-      double lasts = reported > 0 ? reported : median;
-      double moment = Math.max(lasts, pace.recentMillis(start, nowMillis));
-      intervalsByServer.put(start, new Intervals(lasts, moment, median));
-      if (lasts > SLOW_SERVER_RATIO * median) {
+      double knownMillis = sustained.get(start);
+      double sustainedMillis = knownMillis > 0 ? knownMillis : median;
+      double recentMillis =
+          Math.max(sustainedMillis, intervalTracker.recentMillis(start, nowMillis));
+      intervalsByServer.put(start, new Intervals(sustainedMillis, recentMillis, median));
+      if (sustainedMillis > SLOW_SERVER_RATIO * median) {
         slow.add(start);
       }
     }
   }
 
-  /** The present estimate of a server, for logs. */
+  /** Returns the current estimate of a server, for log lines. */
   public ServerEstimate estimate(ServerStart start, long nowMillis) {
     Intervals known = intervalsByServer.get(start);
-    double relative = known == null ? 1 : known.sustainedMillis() / known.serviceMedianMillis();
+    double relativeInterval =
+        known == null ? 1 : known.sustainedMillis() / known.serviceMedianMillis();
     return new ServerEstimate(
-        occupiedSlots(start), relative, peerReports.ageMillis(start, nowMillis));
+        occupiedSlots(start), relativeInterval, peerReports.ageMillis(start, nowMillis));
   }
 
-  /** Generations of all nodes at a server. */
+  /** Returns the number of generations of all nodes at a server. */
   int occupiedSlots(ServerStart start) {
     return health.inProgress(start) + peerSlotsByServer.getOrDefault(start, 0);
   }
 
-  /** Lasting pause between events at a server; zero if the server is not listed. */
+  /** Returns the sustained interval between events of a server; zero if it is not listed. */
   double sustainedIntervalMillis(ServerStart start) {
     Intervals known = intervalsByServer.get(start);
     return known == null ? 0 : known.sustainedMillis();
   }
 
-  /** Expected time of some events at a server, which may be slow at present. */
+  /** Returns the expected time of some events at a server, including a current slowdown. */
   double expectedMillis(double events, ServerStart start) {
     Intervals known = intervalsByServer.get(start);
     if (known == null) {
       return 0;
     }
-    double lost = EXPECTED_SLOWDOWN_MILLIS * (1 - known.sustainedMillis() / known.recentMillis());
-    double mostLost = events * (known.recentMillis() - known.sustainedMillis());
-    return events * known.sustainedMillis() + Math.min(lost, mostLost);
+    double delayMillis =
+        EXPECTED_SLOWDOWN_MILLIS * (1 - known.sustainedMillis() / known.recentMillis());
+    double maxDelayMillis = events * (known.recentMillis() - known.sustainedMillis());
+    return events * known.sustainedMillis() + Math.min(delayMillis, maxDelayMillis);
   }
 
   ServerHealth health() {
     return health;
   }
 
-  EventIntervalTracker intervals() {
-    return pace;
+  EventIntervalTracker intervalTracker() {
+    return intervalTracker;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/TextCache.java
+++ b/core/src/main/java/org/passhaven/core/job/TextCache.java
@@ -4,57 +4,57 @@
 import java.util.Map;
 
 /**
- * Texts of items that no longer run here, for the same items in a later job or run, and the rule by
- * which text that was made before may be used. Not thread-safe.
+ * Cache of the texts of items whose job stopped at this node, for the same items in a later job.
+ * Decides whether an earlier text may be reused. Not thread-safe.
  */
 final class TextCache {
   private static final int MAX_TEXTS = 512;
 
   private record CachedText(ItemText text, boolean complete) {}
 
-  /** Items of two tenants are never the same, whatever their names. */
+  /** Key of a text. Includes the tenant, so that tenants never share texts. */
   private record Key(String tenant, String item) {
-    static Key of(ItemExecution run) {
-      return new Key(run.jobExecution.job.submission().tenant(), run.item.id());
+    static Key of(ItemExecution execution) {
+      return new Key(execution.jobExecution.job.submission().tenant(), execution.item.id());
     }
   }
 
   private final Map<Key, CachedText> texts = new LinkedHashMap<>();
 
-  /** Keeps an item's text; the oldest one gives way to it. */
-  void put(ItemExecution run, boolean whole) {
-    texts.put(Key.of(run), new CachedText(run.text, whole));
+  /** Adds an item's text and evicts the oldest one if the cache is full. */
+  void put(ItemExecution execution, boolean complete) {
+    texts.put(Key.of(execution), new CachedText(execution.text, complete));
     if (texts.size() > MAX_TEXTS) {
       texts.remove(texts.keySet().iterator().next());
     }
   }
 
-  /** Gives an item the text that is kept for it, if there is one that it may use. */
-  void restore(ItemExecution run) {
-    CachedText left = texts.remove(Key.of(run));
-    if (left != null && run.phase == ItemExecution.Phase.WAITING) {
-      useIfAllowed(run, left.text(), left.complete());
+  /** Removes the cached text of an item and sets it in the item if it may be reused. */
+  void restore(ItemExecution execution) {
+    CachedText cached = texts.remove(Key.of(execution));
+    if (cached != null && execution.phase == ItemExecution.Phase.WAITING) {
+      useIfAllowed(execution, cached.text(), cached.complete());
     }
   }
 
-  /** Gives an item the text that an earlier runner left in the log, if it may use it. */
-  static void restoreFromLog(ItemExecution run, TextTable texts) {
-    ItemText left = texts.remove(run.jobExecution.job.id(), run.item.id());
-    if (left != null && run.phase == ItemExecution.Phase.WAITING) {
-      useIfAllowed(run, left, left.isComplete());
+  /** Sets the text that an earlier owner saved in the log, if it may be reused. */
+  static void restoreFromLog(ItemExecution execution, TextTable texts) {
+    ItemText cached = texts.remove(execution.jobExecution.job.id(), execution.item.id());
+    if (cached != null && execution.phase == ItemExecution.Phase.WAITING) {
+      useIfAllowed(execution, cached, cached.isComplete());
     }
   }
 
-  /** Takes text that was made before, if its versions fit and it is no shorter than the own one. */
-  private static void useIfAllowed(ItemExecution run, ItemText text, boolean whole) {
-    boolean fits =
+  /** Reuses a text if its versions are allowed and it is not shorter than the current one. */
+  private static void useIfAllowed(ItemExecution execution, ItemText text, boolean complete) {
+    boolean isAllowed =
         text.usesAllowedVersions(
-            run.jobExecution.job.submission().oldestVersion(),
-            run.jobExecution.policy.singleVersion());
-    if (fits && text.lastEvent() >= run.text.lastEvent()) {
-      run.setText(text);
-      if (whole) {
-        run.phase = ItemExecution.Phase.WAITING_FOR_SCORE;
+            execution.jobExecution.job.submission().oldestVersion(),
+            execution.jobExecution.policy.singleVersion());
+    if (isAllowed && text.lastEvent() >= execution.text.lastEvent()) {
+      execution.setText(text);
+      if (complete) {
+        execution.phase = ItemExecution.Phase.WAITING_FOR_SCORE;
       }
     }
   }
--- a/core/src/main/java/org/passhaven/core/job/TextTable.java
+++ b/core/src/main/java/org/passhaven/core/job/TextTable.java
@@ -6,10 +6,10 @@
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
 /**
- * Fold of the text records of one run: what a new owner goes on from. A record that its writer had
- * superseded, or that follows a newer owner's, changes nothing; a part behind a gap, or behind
- * another text than its writer had, is left out. So no text ever joins events of generations that
- * did not continue each other. Not thread-safe.
+ * Saved texts of one run, built by applying its text records, from which a new owner continues.
+ * Ignores records that are out of order or of an earlier owner, and parts that follow a gap or
+ * continue a different text. A text thus never joins generations that did not continue each other.
+ * Not thread-safe.
  */
 public final class TextTable {
   private record Key(String job, String item) {}
@@ -17,18 +17,18 @@
   private final String run;
   private final Map<Key, ItemText> texts = new HashMap<>();
 
-  /** Job whose text of an item was written last: a later job may carry the item over. */
+  /** Job with the last saved text of an item, which a later job may contain again. */
   private final Map<String, String> lastJobByItem = new HashMap<>();
 
   private long epoch;
   private long lastNumber;
 
-  /** Creates the empty fold of a run. */
+  /** Creates the empty table of a run. */
   public TextTable(String run) {
     this.run = run;
   }
 
-  /** Folds one record; true if it took effect. */
+  /** Applies one record; returns true if it took effect. */
   public boolean apply(TextRecord record) {
     boolean isNewEpoch = record.epoch() > epoch;
     boolean isNext = record.epoch() == epoch && record.number() > lastNumber;
@@ -51,16 +51,16 @@
   }
 
   /**
-   * Takes an item's text out of the table: that of the job, else the last one that an earlier job
-   * left of the same item; null if there is none.
+   * Removes and returns the text of an item in a job, or else the last one that an earlier job
+   * saved for the same item; null if there is none.
    */
   ItemText remove(String job, String item) {
-    ItemText own = texts.remove(new Key(job, item));
+    ItemText ownText = texts.remove(new Key(job, item));
     String lastJob = lastJobByItem.remove(item);
-    return own != null || lastJob == null ? own : texts.remove(new Key(lastJob, item));
+    return ownText != null || lastJob == null ? ownText : texts.remove(new Key(lastJob, item));
   }
 
-  /** Number of items with text. */
+  /** Returns the number of items with a text. */
   public int size() {
     return texts.size();
   }
--- a/core/src/main/java/org/passhaven/core/job/package-info.java
+++ b/core/src/main/java/org/passhaven/core/job/package-info.java
@@ -1,2 +1,2 @@
-/** Batch jobs: the fold of their records, and the decisions of the node that runs them. Pure. */
+/** Batch jobs: their replicated state, and scheduling by the node that owns them, without I/O. */
 package org.passhaven.core.job;
--- a/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
+++ b/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
@@ -10,27 +10,27 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * A model server in virtual time: some generations run, a few wait, more are refused, and so are
- * those of a model whose weights it loads. Events come slower at a slow server and in its slow
- * moments.
+ * Model server in virtual time with a limited number of slots and a limited queue. Refuses
+ * generations when the queue is full and those of a model whose weights it loads.
  */
 final class FakeModelServer {
   private static final int SLOTS = 6;
-  private static final int QUEUE = 18;
-  private static final long EVENT_MILLIS = 45;
-  private static final long PROMPT_MILLIS = 30;
+  private static final int QUEUE_CAPACITY = 18;
+  private static final long EVENT_INTERVAL_MILLIS = 45;
+  private static final long PREFILL_MILLIS = 30;
 
-  /** One generation at the server. */
-  static final class Run {
+  /** State of one generation at the server. */
+  static final class ServerGeneration {
     final String model;
     final int lastEvent;
-    final PlacementWorld.Generation generation;
-    int event;
-    boolean over;
+    final PlacementSimulation.Generation generation;
+    int lastSentEvent;
+    boolean isStopped;
 
-    Run(String model, int afterEvent, int lastEvent, PlacementWorld.Generation generation) {
+    ServerGeneration(
+        String model, int afterEvent, int lastEvent, PlacementSimulation.Generation generation) {
       this.model = model;
-      this.event = afterEvent;
+      this.lastSentEvent = afterEvent;
       this.lastEvent = lastEvent;
       this.generation = generation;
     }
@@ -38,17 +38,18 @@
 
   final ServerStart start;
   private final double slowness;
-  private final PlacementWorld world;
-  private final List<Run> running = new ArrayList<>();
-  private final Deque<Run> waiting = new ArrayDeque<>();
+  private final PlacementSimulation simulation;
+  private final List<ServerGeneration> running = new ArrayList<>();
+  private final Deque<ServerGeneration> queued = new ArrayDeque<>();
   private final Map<String, Long> versions = new HashMap<>();
-  double momentSlowness = 1;
-  private String loading = "";
+  double transientSlowness = 1;
+  private String loadingModel = "";
 
-  FakeModelServer(String name, double slowness, List<String> models, PlacementWorld world) {
+  FakeModelServer(
+      String name, double slowness, List<String> models, PlacementSimulation simulation) {
     this.start = ServerStart.of(name);
     this.slowness = slowness;
-    this.world = world;
+    this.simulation = simulation;
     models.forEach(model -> versions.put(model, 1L));
   }
 
@@ -61,54 +62,55 @@
   }
 
   void beginLoad(String model) {
-    loading = model;
+    loadingModel = model;
   }
 
   void endLoad(String model, long version) {
-    loading = "";
+    loadingModel = "";
     versions.put(model, version);
   }
 
-  /** Takes a generation; false if it is refused. */
-  boolean take(Run run) {
-    if (run.model.equals(loading) || running.size() + waiting.size() >= SLOTS + QUEUE) {
+  /** Queues a generation; returns false if the server refuses it. */
+  boolean accept(ServerGeneration generation) {
+    if (generation.model.equals(loadingModel)
+        || running.size() + queued.size() >= SLOTS + QUEUE_CAPACITY) {
       return false;
     }
-    waiting.add(run);
-    beginWaiting();
+    queued.add(generation);
+    startQueued();
     return true;
   }
 
-  void stop(Run run) {
-    run.over = true;
-    running.remove(run);
-    waiting.remove(run);
-    beginWaiting();
+  void stop(ServerGeneration generation) {
+    generation.isStopped = true;
+    running.remove(generation);
+    queued.remove(generation);
+    startQueued();
   }
 
-  private void beginWaiting() {
-    while (running.size() < SLOTS && !waiting.isEmpty()) {
-      Run next = waiting.remove();
+  private void startQueued() {
+    while (running.size() < SLOTS && !queued.isEmpty()) {
+      ServerGeneration next = queued.remove();
       running.add(next);
-      world.after(PROMPT_MILLIS, () -> makeEvent(next));
+      simulation.schedule(PREFILL_MILLIS, () -> emitEvent(next));
     }
   }
 
-  private void makeEvent(Run run) {
-    if (run.over) {
+  private void emitEvent(ServerGeneration generation) {
+    if (generation.isStopped) {
       return;
     }
-    run.event++;
-    world.onEvent(run);
-    if (run.over) {
+    generation.lastSentEvent++;
+    simulation.onEvent(generation);
+    if (generation.isStopped) {
       return;
     }
-    if (run.event >= run.lastEvent) {
-      stop(run);
-      world.onWhole(run);
+    if (generation.lastSentEvent >= generation.lastEvent) {
+      stop(generation);
+      simulation.onCompleted(generation);
     } else {
-      long pause = Math.round(EVENT_MILLIS * slowness * momentSlowness);
-      world.after(pause, () -> makeEvent(run));
+      long intervalMillis = Math.round(EVENT_INTERVAL_MILLIS * slowness * transientSlowness);
+      simulation.schedule(intervalMillis, () -> emitEvent(generation));
     }
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -15,6 +15,7 @@
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.member.ServerUse;
 
+/** Guards against generations that are placed on or moved to the wrong server. */
 class GenerationPickerTest {
   private static final ServerEntry FAST = server("fast");
   private static final ServerEntry SLOW = server("slow");
@@ -37,13 +38,13 @@
     return new JobExecution(job, new JobPolicy("llm", 3, false, 1, 0)).items.get(hinted.id());
   }
 
-  /** One event for ten tokens; the slow server takes a quarter longer for each. */
+  /** Records one event for ten tokens; the slow server takes a quarter longer for each event. */
   @BeforeEach
-  void observe() {
+  void recordIntervals() {
     lengths.onCompleted(100, 10);
     for (int i = 0; i < 20; i++) {
-      view.intervals().onInterval(ServerStart.of("fast"), 40, i);
-      view.intervals().onInterval(ServerStart.of("slow"), 50, i);
+      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, i);
+      view.intervalTracker().onInterval(ServerStart.of("slow"), 50, i);
     }
     picker.beginRound(servers, 20);
   }
@@ -52,74 +53,73 @@
     return picker.choose(item(expectedTokens), 20).orElseThrow().start().id();
   }
 
-  private void busy(String server, int generations) {
+  private void addGenerations(String server, int generations) {
     for (int i = 0; i < generations; i++) {
       view.health().onSent(ServerStart.of(server));
     }
   }
 
   @Test
-  void aLongTextGoesToTheFastServerThoughItIsFuller() {
-    busy("fast", 9);
+  void longTextGoesToTheFastServerDespiteItsLoad() {
+    addGenerations("fast", 9);
     assertThat(choose(1_000), equalTo("fast"));
   }
 
   @Test
-  void aShortTextLeavesTheFastServerRoom() {
-    busy("fast", 9);
+  void shortTextGoesToTheLessLoadedSlowServer() {
+    addGenerations("fast", 9);
     assertThat(choose(50), equalTo("slow"));
   }
 
   @Test
-  void aTextIsMovedWhereItsRestEndsMuchSooner() {
-    ItemExecution run = item(1_000);
-    run.server = ServerStart.of("slow");
-    assertThat(picker.chooseFaster(run, 20), equalTo(Optional.of(FAST)));
-    ItemExecution small = item(100);
-    small.server = ServerStart.of("slow");
-    assertThat(picker.chooseFaster(small, 20), equalTo(Optional.empty()));
-    run.server = ServerStart.of("fast");
-    assertThat(picker.chooseFaster(run, 20), equalTo(Optional.empty()));
+  void textMovesToAServerThatEndsItMuchSooner() {
+    ItemExecution execution = item(1_000);
+    execution.server = ServerStart.of("slow");
+    assertThat(picker.chooseFaster(execution, 20), equalTo(Optional.of(FAST)));
+    ItemExecution shortExecution = item(100);
+    shortExecution.server = ServerStart.of("slow");
+    assertThat(picker.chooseFaster(shortExecution, 20), equalTo(Optional.empty()));
+    execution.server = ServerStart.of("fast");
+    assertThat(picker.chooseFaster(execution, 20), equalTo(Optional.empty()));
   }
 
   @Test
-  void aTextThatTurnsOutLongIsMovedToo() {
-    ItemExecution run = item(50);
-    run.server = ServerStart.of("slow");
+  void textLongerThanExpectedIsMoved() {
+    ItemExecution execution = item(50);
+    execution.server = ServerStart.of("slow");
     for (int event = 1; event <= 40; event++) {
-      run.text.append(event, 1, "e");
+      execution.text.append(event, 1, "e");
     }
-    assertThat(picker.chooseFaster(run, 20), equalTo(Optional.of(FAST)));
+    assertThat(picker.chooseFaster(execution, 20), equalTo(Optional.of(FAST)));
   }
 
-  /** A tenth more is within what a server's load makes of it. */
   @Test
-  void aTextStaysAtAServerThatIsHardlySlower() {
+  void textStaysAtASlightlySlowerServer() {
     for (int i = 0; i < 100; i++) {
-      view.intervals().onInterval(ServerStart.of("fast"), 40, 2_000 + i);
-      view.intervals().onInterval(ServerStart.of("slow"), 44, 2_000 + i);
+      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, 2_000 + i);
+      view.intervalTracker().onInterval(ServerStart.of("slow"), 44, 2_000 + i);
     }
     picker.beginRound(servers, 2_100);
-    ItemExecution run = item(1_000);
-    run.server = ServerStart.of("slow");
-    assertThat(picker.chooseFaster(run, 2_100), equalTo(Optional.empty()));
+    ItemExecution execution = item(1_000);
+    execution.server = ServerStart.of("slow");
+    assertThat(picker.chooseFaster(execution, 2_100), equalTo(Optional.empty()));
   }
 
   @Test
-  void aTextStaysAtAServerThatIsSlowForAMoment() {
+  void textStaysAtATransientlySlowServer() {
     for (int now = 1_000; now < 2_600; now++) {
-      view.intervals().onInterval(ServerStart.of("fast"), 40, now);
-      view.intervals().onInterval(ServerStart.of("slow"), now < 2_000 ? 40 : 100, now);
+      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, now);
+      view.intervalTracker().onInterval(ServerStart.of("slow"), now < 2_000 ? 40 : 100, now);
     }
     picker.beginRound(servers, 2_600);
-    ItemExecution run = item(1_000);
-    run.server = ServerStart.of("slow");
-    assertThat(picker.chooseFaster(run, 2_600), equalTo(Optional.empty()));
+    ItemExecution execution = item(1_000);
+    execution.server = ServerStart.of("slow");
+    assertThat(picker.chooseFaster(execution, 2_600), equalTo(Optional.empty()));
     assertThat(view.slowServers(), empty());
   }
 
   @Test
-  void aServerWhoseSlotsOthersHaveTakenIsLeftToThem() {
+  void serverWithSlotsOccupiedByPeersIsAvoided() {
     assertThat(choose(1_000), equalTo("fast"));
     view.onReport("other", 1, List.of(new ServerUse("fast", 0, 12, 40)), 20);
     picker.beginRound(servers, 20);
@@ -128,25 +128,26 @@
   }
 
   @Test
-  void whatOthersToldOfAServersPaceCountsUntilThisNodeKnowsIt() {
-    ServerView newcomer = new ServerView();
-    newcomer.onReport(
+  void reportedIntervalIsUsedUntilThisNodeHasSamples() {
+    ServerView viewWithoutSamples = new ServerView();
+    viewWithoutSamples.onReport(
         "other", 1, List.of(new ServerUse("fast", 0, 1, 40), new ServerUse("slow", 0, 1, 80)), 20);
-    newcomer.beginRound(servers, 20);
-    assertThat(newcomer.estimate(ServerStart.of("slow"), 20).relativePace(), equalTo(2.0));
-    assertThat(newcomer.slowServers(), contains(ServerStart.of("slow")));
+    viewWithoutSamples.beginRound(servers, 20);
+    assertThat(
+        viewWithoutSamples.estimate(ServerStart.of("slow"), 20).relativePace(), equalTo(2.0));
+    assertThat(viewWithoutSamples.slowServers(), contains(ServerStart.of("slow")));
   }
 
   @Test
-  void aServerThatWasJustOrderedToLoadGetsOneGenerationAtATime() {
-    ReadyServers justNamed =
+  void serverAboutToLoadGetsOneGenerationAtATime() {
+    ReadyServers justAnnounced =
         new ReadyServers(List.of(FAST, SLOW), Map.of("m", new NamedVersion(2, 0)));
-    picker.beginRound(justNamed, 20);
+    picker.beginRound(justAnnounced, 20);
     for (String chosen : List.of("fast", "slow")) {
-      ItemExecution run = item(1_000);
-      run.server = ServerStart.of(chosen);
+      ItemExecution execution = item(1_000);
+      execution.server = ServerStart.of(chosen);
       assertThat(choose(1_000), equalTo(chosen));
-      picker.onSent(run);
+      picker.onSent(execution);
     }
     assertThat(picker.choose(item(1_000), 20), equalTo(Optional.empty()));
     ItemExecution refused = item(1_000);
@@ -162,14 +163,14 @@
   }
 
   @Test
-  void aServerThatJustStartedGetsOneGenerationUntilItTakesIt() {
+  void newServerGetsOneGenerationUntilItAcceptsIt() {
     ServerEntry started = server("a-new-one");
     picker.beginRound(new ReadyServers(List.of(started), Map.of()), 30);
-    ItemExecution run = item(100);
-    run.server = started.start();
-    picker.onSent(run);
+    ItemExecution execution = item(100);
+    execution.server = started.start();
+    picker.onSent(execution);
     assertThat(picker.choose(item(100), 30), equalTo(Optional.empty()));
-    picker.onAccepted(run);
+    picker.onAccepted(execution);
     assertThat(picker.choose(item(100), 30), equalTo(Optional.of(started)));
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -20,6 +20,7 @@
 import org.passhaven.protocol.job.JobSubmission;
 import org.passhaven.protocol.job.TextPlace;
 
+/** Guards against readers of the log that disagree on jobs, results or positions. */
 class JobTableTest {
   private final JobTable table = new JobTable();
 
@@ -32,9 +33,9 @@
         id, "a.example", "/p/", "", "m", "m", step, oldestVersion, 1, List.of(items));
   }
 
-  private static JobPart whole(String id, long attempt, String... items) {
-    JobItem[] made = Arrays.stream(items).map(name -> item(name, "g")).toArray(JobItem[]::new);
-    return new JobPart(id, attempt, 0, 1, Codec.encode(submission(id, 0, 0, made)));
+  private static JobPart singlePieceJob(String id, long attempt, String... items) {
+    JobItem[] jobItems = Arrays.stream(items).map(name -> item(name, "g")).toArray(JobItem[]::new);
+    return new JobPart(id, attempt, 0, 1, Codec.encode(submission(id, 0, 0, jobItems)));
   }
 
   private static ItemFinished finished(String job, String item, String score) {
@@ -42,19 +43,19 @@
   }
 
   @Test
-  void theFirstCopyOfASubmissionCounts() {
-    assertThat(table.apply(whole("j", 1, "x"), 0), is(Effect.ACCEPTED));
-    assertThat(table.apply(whole("j", 2, "y"), 0), is(Effect.IGNORED));
+  void firstCopyOfASubmissionIsAccepted() {
+    assertThat(table.apply(singlePieceJob("j", 1, "x"), 0), is(Effect.ACCEPTED));
+    assertThat(table.apply(singlePieceJob("j", 2, "y"), 0), is(Effect.IGNORED));
     assertThat(table.get("j").item("x").id(), equalTo("x"));
     assertThat(table.get("j").item("y"), nullValue());
   }
 
   @Test
-  void aJobThatCantBeDecodedIsToldFromACopy() {
-    JobPart garbled = new JobPart("j", 1, 0, 1, new byte[] {1, 2, 3});
-    assertThat(table.apply(garbled, 0), is(Effect.UNREADABLE));
+  void undecodableJobIsReportedAndNotADuplicate() {
+    JobPart undecodable = new JobPart("j", 1, 0, 1, new byte[] {1, 2, 3});
+    assertThat(table.apply(undecodable, 0), is(Effect.UNREADABLE));
     assertThat(table.get("j"), nullValue());
-    assertThat(table.apply(whole("j", 2, "x"), 0), is(Effect.ACCEPTED));
+    assertThat(table.apply(singlePieceJob("j", 2, "x"), 0), is(Effect.ACCEPTED));
   }
 
   @Test
@@ -73,11 +74,11 @@
   }
 
   @Test
-  void aJobIsOpenUntilItEndsOrAllItsItemsHaveResults() {
+  void jobIsOpenUntilItEndsOrAllItemsHaveResults() {
     table.apply(new JobEnded("e"), 0);
-    table.apply(whole("e", 1, "x"), 0);
-    table.apply(whole("j", 1, "x", "y"), 0);
-    table.apply(whole("k", 1, "x"), 0);
+    table.apply(singlePieceJob("e", 1, "x"), 0);
+    table.apply(singlePieceJob("j", 1, "x", "y"), 0);
+    table.apply(singlePieceJob("k", 1, "x"), 0);
     assertThat(open(), contains("j", "k"));
     table.apply(finished("j", "x", "one"), 0);
     table.apply(new JobEnded("k"), 0);
@@ -87,8 +88,8 @@
   }
 
   @Test
-  void theFirstResultOfAnItemKeepsItsPosition() {
-    table.apply(whole("j", 1, "x", "y"), 0);
+  void firstResultOfAnItemKeepsItsPosition() {
+    table.apply(singlePieceJob("j", 1, "x", "y"), 0);
     assertThat(table.apply(finished("j", "y", "one"), 0), is(Effect.LISTED));
     assertThat(table.apply(finished("j", "y", "two"), 0), is(Effect.IGNORED));
     assertThat(table.apply(finished("j", "x", "three"), 0), is(Effect.LISTED));
@@ -98,22 +99,22 @@
   }
 
   @Test
-  void aResultOfAForeignItemOrJobIsIgnored() {
-    table.apply(whole("j", 1, "x"), 0);
+  void resultOfAnUnknownItemOrJobIsIgnored() {
+    table.apply(singlePieceJob("j", 1, "x"), 0);
     assertThat(table.apply(finished("j", "z", "t"), 0), is(Effect.IGNORED));
     assertThat(table.apply(finished("k", "x", "t"), 0), is(Effect.IGNORED));
   }
 
   @Test
-  void anEndThatCameBeforeItsJobHolds() {
+  void endRecordBeforeItsJobIsApplied() {
     assertThat(table.apply(new JobEnded("j"), 0), is(Effect.IGNORED));
-    assertThat(table.apply(whole("j", 1, "x"), 0), is(Effect.ACCEPTED));
+    assertThat(table.apply(singlePieceJob("j", 1, "x"), 0), is(Effect.ACCEPTED));
     assertThat(table.get("j").isOpen(), is(false));
   }
 
   @Test
-  void anEndIsTakenOnceAndKeepsWhatIsListed() {
-    table.apply(whole("j", 1, "x", "y"), 0);
+  void endIsAppliedOnceAndKeepsResults() {
+    table.apply(singlePieceJob("j", 1, "x", "y"), 0);
     table.apply(finished("j", "x", "t"), 0);
     assertThat(table.apply(new JobEnded("j"), 0), is(Effect.ENDED));
     assertThat(table.apply(new JobEnded("j"), 0), is(Effect.IGNORED));
@@ -121,9 +122,9 @@
   }
 
   @Test
-  void openJobsAreNeverForgotten() {
-    table.apply(whole("open", 1, "x"), 0);
-    table.apply(whole("ended", 1, "x"), 0);
+  void openJobsAreNeverRemoved() {
+    table.apply(singlePieceJob("open", 1, "x"), 0);
+    table.apply(singlePieceJob("ended", 1, "x"), 0);
     table.apply(new JobEnded("ended"), 0);
     table.forget(1);
     assertThat(table.get("ended"), nullValue());
@@ -131,7 +132,7 @@
   }
 
   @Test
-  void recordsKeepTheirTypeThroughTheCodec() {
+  void codecPreservesRecordTypes() {
     JobRecord read = Codec.decode(Codec.encode(finished("j", "x", "t")), JobRecord.class);
     assertThat(read, equalTo(finished("j", "x", "t")));
   }
--- a/core/src/test/java/org/passhaven/core/job/LengthEstimateTest.java
+++ b/core/src/test/java/org/passhaven/core/job/LengthEstimatorTest.java
@@ -6,25 +6,26 @@
 
 import org.junit.jupiter.api.Test;
 
-class LengthEstimateTest {
+/** Guards against wrong length estimates of texts with and without a hint. */
+class LengthEstimatorTest {
   private final LengthEstimator estimate = new LengthEstimator();
 
   @Test
-  void aHintCountsByWhatHintsCameToSoFar() {
+  void hintIsScaledByEarlierTexts() {
     estimate.onCompleted(100, 2);
     estimate.onCompleted(300, 6);
     assertThat(estimate.expectedEvents(500), closeTo(10, 0.001));
   }
 
   @Test
-  void withoutAHintTheMeanIsExpected() {
+  void meanIsExpectedWithoutAHint() {
     estimate.onCompleted(0, 10);
     estimate.onCompleted(0, 30);
     assertThat(estimate.expectedEvents(0), closeTo(20, 0.1));
   }
 
   @Test
-  void aTextLongerThanExpectedCountsAsHalfDone() {
+  void textLongerThanExpectedCountsAsHalfDone() {
     estimate.onCompleted(100, 10);
     assertThat(estimate.remainingEvents(100, 4), closeTo(6, 0.001));
     assertThat(estimate.remainingEvents(100, 40), equalTo(40.0));
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -12,31 +12,32 @@
 import org.passhaven.protocol.job.JobRecord.RunTaken;
 import org.passhaven.protocol.member.MemberBeat;
 
+/** Guards against runs with two owners, and against runs that no node claims. */
 class RunOwnersTest {
   private final BeatTable beats = new BeatTable(1_500);
   private final RunOwners a = new RunOwners("a", 1, run -> "run/" + run);
 
-  private void beat(String node, long incarnation, boolean taking, long now) {
+  private void heartbeat(String node, long incarnation, boolean taking, long now) {
     beats.onBeat(new MemberBeat(node, node + ":1", "z", incarnation, taking, 0, 0, 0, 0), now);
   }
 
-  private String firstOf(String run) {
+  private String firstCandidate(String run) {
     return beats.rankOf("run/" + run, "a") == 0 ? "a" : "b";
   }
 
-  private String runWhoseFirstIs(String node) {
+  private String runWithFirstCandidate(String node) {
     for (int i = 0; ; i++) {
-      if (firstOf("r" + i).equals(node)) {
+      if (firstCandidate("r" + i).equals(node)) {
         return "r" + i;
       }
     }
   }
 
   @Test
-  void theFirstCandidateTakesARunThatNobodyHas() {
-    beat("a", 1, true, 0);
-    beat("b", 1, true, 0);
-    String run = runWhoseFirstIs("a");
+  void firstCandidateClaimsARunWithoutOwner() {
+    heartbeat("a", 1, true, 0);
+    heartbeat("b", 1, true, 0);
+    String run = runWithFirstCandidate("a");
     RunTaken claim = a.claim(run, beats, 0, 0).orElseThrow();
     assertThat(a.isOwn(run), is(false));
     assertThat(a.apply(claim, 0, 0), is(true));
@@ -47,51 +48,51 @@
   }
 
   @Test
-  void aNodeThatComesBackDoesNotTakeARunFromALiveRunner() {
-    beat("a", 1, true, 0);
-    beat("b", 1, true, 0);
-    String run = runWhoseFirstIs("a");
+  void returningNodeDoesNotClaimARunOfALiveOwner() {
+    heartbeat("a", 1, true, 0);
+    heartbeat("b", 1, true, 0);
+    String run = runWithFirstCandidate("a");
     a.apply(new RunTaken(run, 1, "b", 1, 0), 0, 0);
     assertThat(a.claim(run, beats, 0, 0), equalTo(Optional.empty()));
   }
 
   @Test
-  void aRunnerThatLeavesOrStartsAnewIsSucceeded() {
-    beat("a", 1, true, 0);
-    beat("b", 1, true, 0);
-    String run = runWhoseFirstIs("a");
+  void runOfARestartedOwnerIsClaimed() {
+    heartbeat("a", 1, true, 0);
+    heartbeat("b", 1, true, 0);
+    String run = runWithFirstCandidate("a");
     a.apply(new RunTaken(run, 1, "b", 1, 0), 0, 0);
-    beat("b", 2, true, 10);
+    heartbeat("b", 2, true, 10);
     assertThat(a.claim(run, beats, 1, 10).orElseThrow().epoch(), equalTo(2L));
   }
 
   @Test
-  void theSecondCandidateWaitsForTheFirst() {
-    beat("a", 1, true, 0);
-    beat("b", 1, true, 0);
-    String run = runWhoseFirstIs("b");
+  void secondCandidateWaitsForTheFirst() {
+    heartbeat("a", 1, true, 0);
+    heartbeat("b", 1, true, 0);
+    String run = runWithFirstCandidate("b");
     assertThat(a.claim(run, beats, 0, 0).isPresent(), is(false));
     assertThat(a.claim(run, beats, 0, 199).isPresent(), is(false));
     assertThat(a.claim(run, beats, 0, 200).isPresent(), is(true));
   }
 
   @Test
-  void aRunnerWhoseFirstBeatIsNotReadYetKeepsItsRun() {
-    beat("a", 1, true, 0);
-    beat("b", 1, true, 0);
-    String run = runWhoseFirstIs("a");
+  void ownerKeepsItsRunBeforeItsFirstHeartbeatIsRead() {
+    heartbeat("a", 1, true, 0);
+    heartbeat("b", 1, true, 0);
+    String run = runWithFirstCandidate("a");
     a.apply(new RunTaken(run, 1, "b", 2, 0), 0, 0);
     assertThat(a.claim(run, beats, 0, 900).isPresent(), is(false));
     assertThat(a.claim(run, beats, 0, 1_000).isPresent(), is(true));
   }
 
   @Test
-  void anOwnerIsOverOnceAnotherStartOfItOrItsLeavingIsKnown() {
+  void ownerIsGoneOnceALaterIncarnationIsKnown() {
     a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0);
     assertThat(a.isOwnerOver("r", beats), is(false));
-    beat("b", 1, true, 0);
+    heartbeat("b", 1, true, 0);
     assertThat(a.isOwnerOver("r", beats), is(false));
-    beat("b", 2, true, 10);
+    heartbeat("b", 2, true, 10);
     assertThat(a.isOwnerOver("r", beats), is(true));
     assertThat(a.isOwnerOver("nobody's", beats), is(false));
     a.apply(new RunTaken("r", 2, "b", 3, 1), 1, 0);
@@ -99,48 +100,48 @@
   }
 
   @Test
-  void ofTwoClaimsTheFirstInTheLogWins() {
+  void firstOfTwoClaimsInTheLogWins() {
     assertThat(a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0), is(true));
     assertThat(a.apply(new RunTaken("r", 1, "a", 1, 0), 0, 0), is(false));
     assertThat(a.isOwn("r"), is(false));
   }
 
   @Test
-  void aNodeThatLeavesTakesNothing() {
-    beat("a", 1, false, 0);
+  void leavingNodeClaimsNothing() {
+    heartbeat("a", 1, false, 0);
     assertThat(a.claim("r", beats, 0, 5_000).isPresent(), is(false));
   }
 
   @Test
-  void aRunnerWritesItsClaimAgainBeforeTheLogDropsIt() {
-    beat("a", 1, true, 0);
-    String run = runWhoseFirstIs("a");
+  void ownerRenewsItsClaimBeforeTheLogDropsIt() {
+    heartbeat("a", 1, true, 0);
+    String run = runWithFirstCandidate("a");
     a.apply(a.claim(run, beats, 0, 0).orElseThrow(), 0, 0);
     assertThat(a.renewals(5_000, stream -> 40, 4_999), empty());
-    RunTaken again = a.renewals(5_000, stream -> 40, 5_000).get(0);
-    assertThat(again, equalTo(new RunTaken(run, 1, "a", 1, 40)));
-    assertThat(a.apply(again, 41, 5_010), is(false));
+    RunTaken renewal = a.renewals(5_000, stream -> 40, 5_000).get(0);
+    assertThat(renewal, equalTo(new RunTaken(run, 1, "a", 1, 40)));
+    assertThat(a.apply(renewal, 41, 5_010), is(false));
     assertThat(a.isOwn(run), is(true));
     assertThat(a.renewals(5_000, stream -> 40, 6_000), empty());
   }
 
   @Test
-  void whoStartsAfterTheClaimIsGoneLearnsTheRunnerFromItsRenewal() {
+  void renewalNamesTheOwnerAfterTheClaimWasDropped() {
     a.onGap("run/r");
     assertThat(a.apply(new RunTaken("r", 7, "b", 1, 300), 310, 0), is(true));
     assertThat(a.epochOf("r"), equalTo(7L));
   }
 
   @Test
-  void whoFindsNoRunnerInWhatIsKeptClaimsAboveAllThatCanHaveBeenUsed() {
-    beat("a", 1, true, 0);
+  void claimAfterAGapHasAHigherEpochThanAnyUsedBefore() {
+    heartbeat("a", 1, true, 0);
     a.onGap("run/r");
     RunTaken claim = a.claim("r", beats, 500, 0).orElseThrow();
     assertThat(claim.epoch(), equalTo(501L));
   }
 
   @Test
-  void aClaimByWhoMissedALiveRunnersRecordComesToNothing() {
+  void claimThatMissedTheOwnersRenewalIsIgnored() {
     a.apply(new RunTaken("r", 1, "b", 1, 0), 10, 0);
     a.apply(new RunTaken("r", 1, "b", 1, 0), 700, 0);
     assertThat(a.apply(new RunTaken("r", 601, "c", 1, 600), 701, 0), is(false));
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -17,7 +17,7 @@
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.JobSubmission;
 
-/** Generations that fall silent at one server, or at all of them together. */
+/** Guards against avoiding all servers when connections rather than servers stall. */
 class StallTest {
   private static final JobPolicy POLICY = new JobPolicy("llm", 3, false, 1, 40_000);
   private static final List<ServerEntry> SERVERS = List.of(server("a"), server("b"));
@@ -38,8 +38,8 @@
     return starts.stream().map(start -> start.server().start().id()).collect(Collectors.toSet());
   }
 
-  /** Four items that have made their first event at 100 ms, two at each server. */
-  private List<Start> begin() {
+  /** Starts two items at each of two servers; each has its first event at 100 ms. */
+  private List<Start> startFourGenerations() {
     List<JobItem> items = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       items.add(new JobItem("x" + i, "/p/" + i, List.of(), new byte[0], "g" + i, 20, null));
@@ -59,27 +59,27 @@
   }
 
   @Test
-  void aServerThatFallsSilentAloneIsLeftOutForAWhile() {
-    List<Long> atOther =
-        begin().stream()
+  void singleStalledServerIsAvoidedForAWhile() {
+    List<Long> attemptsAtOther =
+        startFourGenerations().stream()
             .filter(start -> start.server().start().id().equals("b"))
             .map(Start::attempt)
             .toList();
-    atOther.forEach(attempt -> scheduler.onEvent(attempt, 2, 0, "two", 700));
+    attemptsAtOther.forEach(attempt -> scheduler.onEvent(attempt, 2, 0, "two", 700));
     assertThat(decide(800).isEmpty(), is(true));
     assertThat(decide(801).isEmpty(), is(true));
-    atOther.forEach(attempt -> scheduler.onWhole(attempt, 810));
-    List<Start> again = decide(820);
-    assertThat(again.size(), equalTo(2));
-    assertThat(serversOf(again), equalTo(Set.of("b")));
+    attemptsAtOther.forEach(attempt -> scheduler.onWhole(attempt, 810));
+    List<Start> restarted = decide(820);
+    assertThat(restarted.size(), equalTo(2));
+    assertThat(serversOf(restarted), equalTo(Set.of("b")));
   }
 
   @Test
-  void theSilenceOfAConnectionLeavesNoServerOut() {
-    List<Start> starts = begin();
+  void silentConnectionDoesNotAvoidItsServer() {
+    List<Start> starts = startFourGenerations();
     starts.forEach(start -> scheduler.onFailed(start.attempt(), Failure.SILENT, 500));
-    List<Start> again = decide(540);
-    assertThat(again.size(), equalTo(4));
-    assertThat(serversOf(again), equalTo(Set.of("a", "b")));
+    List<Start> restarted = decide(540);
+    assertThat(restarted.size(), equalTo(4));
+    assertThat(serversOf(restarted), equalTo(Set.of("a", "b")));
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
+++ b/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
@@ -12,9 +12,8 @@
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
 /**
- * Owners of a run that overlap, whose records land late, twice in content or never, over a log that
- * forgets its beginning: whatever a successor folds joins only generations that continued each
- * other. Drawn from fixed seeds.
+ * Guards against saved texts that join unrelated generations when owners overlap, appends arrive
+ * late, twice or never, and the log drops old records.
  */
 class TextRaceTest {
   private static final String RUN = "r";
@@ -22,14 +21,14 @@
   private static final int STEPS = 40;
   private static final int OWNERS = 3;
 
-  /** One owner, as {@code TextLog} and {@code ItemRun} behave for one item. */
+  /** Model of how {@code TextLog} and {@link ItemExecution} handle one item of an owner. */
   private static final class Owner {
     final long epoch;
     ItemText text;
-    long saved;
-    long number;
+    long savedEvents;
+    long recordNumber;
     int generation;
-    long begunBehind;
+    long startedAfterEvent;
 
     Owner(long epoch, ItemText text) {
       this.epoch = epoch;
@@ -38,106 +37,106 @@
   }
 
   private final List<TextRecord> log = new ArrayList<>();
-  private final List<TextRecord> onTheWay = new ArrayList<>();
+  private final List<TextRecord> inFlight = new ArrayList<>();
   private final List<Owner> owners = new ArrayList<>();
-  private int firstKept;
+  private int firstRetained;
   private int generations;
 
-  private ItemText folded() {
+  private ItemText replayedText() {
     TextTable table = new TextTable(RUN);
-    log.subList(firstKept, log.size()).forEach(table::apply);
+    log.subList(firstRetained, log.size()).forEach(table::apply);
     ItemText text = table.remove("j", "x");
     return text == null ? new ItemText() : text;
   }
 
-  private void begin(Owner owner) {
+  private void startGeneration(Owner owner) {
     generations++;
     owner.generation = generations;
-    owner.begunBehind = owner.text.lastEvent();
+    owner.startedAfterEvent = owner.text.lastEvent();
   }
 
-  private void step(Random random) {
+  private void runRandomStep(Random random) {
     if (owners.isEmpty() || (owners.size() < OWNERS && random.nextInt(8) == 0)) {
-      Owner next = new Owner(owners.size() + 1, folded());
-      begin(next);
+      Owner next = new Owner(owners.size() + 1, replayedText());
+      startGeneration(next);
       owners.add(next);
       return;
     }
     Owner owner = owners.get(random.nextInt(owners.size()));
     switch (random.nextInt(9)) {
-      case 0, 1, 2 -> generate(owner);
-      case 3, 4 -> save(owner, random);
-      case 5, 6 -> land(random);
-      case 7 -> begin(owner);
-      default -> restartOrForget(owner, random);
+      case 0, 1, 2 -> appendEvent(owner);
+      case 3, 4 -> appendRecord(owner, random);
+      case 5, 6 -> deliverInFlightRecord(random);
+      case 7 -> startGeneration(owner);
+      default -> restartTextOrTruncateLog(owner, random);
     }
   }
 
-  /** An event names its number, its generation and the event behind which that one began. */
-  private void generate(Owner owner) {
+  /** Appends an event with its number, its generation and the event after which that started. */
+  private void appendEvent(Owner owner) {
     long event = owner.text.lastEvent() + 1;
-    owner.text.append(event, 1, event + " " + owner.generation + " " + owner.begunBehind);
+    owner.text.append(event, 1, event + " " + owner.generation + " " + owner.startedAfterEvent);
   }
 
-  private void save(Owner owner, Random random) {
-    if (owner.text.lastEvent() <= owner.saved) {
+  private void appendRecord(Owner owner, Random random) {
+    if (owner.text.lastEvent() <= owner.savedEvents) {
       return;
     }
-    owner.number++;
-    TextPart part = owner.text.partAfter(owner.saved, "j", "x", false);
-    onTheWay.add(new TextRecord(RUN, owner.epoch, owner.number, List.of(part)));
-    boolean isAnswered = random.nextInt(3) > 0;
-    if (isAnswered) {
-      log.add(onTheWay.remove(onTheWay.size() - 1));
-      owner.saved = owner.text.lastEvent();
+    owner.recordNumber++;
+    TextPart part = owner.text.partAfter(owner.savedEvents, "j", "x", false);
+    inFlight.add(new TextRecord(RUN, owner.epoch, owner.recordNumber, List.of(part)));
+    boolean isDelivered = random.nextInt(3) > 0;
+    if (isDelivered) {
+      log.add(inFlight.remove(inFlight.size() - 1));
+      owner.savedEvents = owner.text.lastEvent();
     }
   }
 
-  private void land(Random random) {
-    if (!onTheWay.isEmpty()) {
-      log.add(onTheWay.remove(random.nextInt(onTheWay.size())));
+  private void deliverInFlightRecord(Random random) {
+    if (!inFlight.isEmpty()) {
+      log.add(inFlight.remove(random.nextInt(inFlight.size())));
     }
   }
 
-  private void restartOrForget(Owner owner, Random random) {
-    if (random.nextBoolean() && firstKept < log.size()) {
-      firstKept++;
+  private void restartTextOrTruncateLog(Owner owner, Random random) {
+    if (random.nextBoolean() && firstRetained < log.size()) {
+      firstRetained++;
       return;
     }
     owner.text = new ItemText();
-    owner.saved = 0;
-    begin(owner);
+    owner.savedEvents = 0;
+    startGeneration(owner);
   }
 
-  private static boolean isJoined(ItemText text) {
-    String before = "";
+  private static boolean isConsistent(ItemText text) {
+    String previousGeneration = "";
     long number = 0;
     for (String event : text.partAfter(0, "j", "x", false).events()) {
       String[] fields = event.split(" ", -1);
       number++;
-      boolean continues = fields[1].equals(before);
+      boolean continues = fields[1].equals(previousGeneration);
       boolean begins = Long.parseLong(fields[2]) == number - 1;
       if (Long.parseLong(fields[0]) != number || !(continues || begins)) {
         return false;
       }
-      before = fields[1];
+      previousGeneration = fields[1];
     }
     return true;
   }
 
   @Test
-  void aSuccessorNeverJoinsGenerationsThatDidNotContinueEachOther() {
-    long folds = 0;
+  void replayedTextJoinsOnlyGenerationsThatContinueEachOther() {
+    long checkedTexts = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      TextRaceTest race = new TextRaceTest();
+      TextRaceTest scenario = new TextRaceTest();
       Random random = new Random(seed);
       for (int i = 0; i < STEPS; i++) {
-        race.step(random);
-        ItemText text = race.folded();
-        folds += text.lastEvent() > 2 ? 1 : 0;
-        assertThat("seed " + seed + " step " + i, isJoined(text), is(true));
+        scenario.runRandomStep(random);
+        ItemText text = scenario.replayedText();
+        checkedTexts += text.lastEvent() > 2 ? 1 : 0;
+        assertThat("seed " + seed + " step " + i, isConsistent(text), is(true));
       }
     }
-    assertThat(folds, greaterThan(10_000L));
+    assertThat(checkedTexts, greaterThan(10_000L));
   }
 }
