--- a/core/src/main/java/org/passhaven/core/admission/AdmissionQueue.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionQueue.java
@@ -10,20 +10,20 @@
 import org.passhaven.core.admission.AdmissionRequest.Source;
 
 /**
- * Requests that wait for a place at a service, in strict order of priority; within one priority
- * callers go before scorings, which can wait for seconds. Starvation is prevented by a minimum: a
- * class (priority and source) whose share of sent requests has fallen far below the share of all
- * requests goes first until it has recovered, and no further, so that a less urgent class is never
- * served better than a more urgent one. Times in monotonic milliseconds. Not thread-safe.
+ * Queue of requests that wait for a free slot at a service, in strict order of priority; within one
+ * priority callers go before scorings. To prevent starvation, a class (priority and source) whose
+ * share of sent requests has fallen far below the overall share goes first until it has recovered.
+ * This never serves a less urgent class better than a more urgent one. Times are in monotonic
+ * milliseconds. Not thread-safe.
  */
 final class AdmissionQueue {
   /**
-   * A class is starving below this part of the share of all requests. The platform's rules ask for
-   * a quarter; half leaves a margin.
+   * A class is starving if its share of sent requests is below this fraction of the overall share.
+   * The required minimum is a quarter; half leaves a margin.
    */
-  private static final double STARVING_PART_OF_SHARE = 0.5;
+  private static final double STARVING_FRACTION_OF_OVERALL_SHARE = 0.5;
 
-  /** Requests of one priority and source; the first one by this order goes first. */
+  /** Key of the requests of one priority and source; classes are ordered by urgency. */
   private record AdmissionClass(int priority, Source source) implements Comparable<AdmissionClass> {
     private static final Comparator<AdmissionClass> BY_PRIORITY =
         Comparator.comparingInt(AdmissionClass::priority).thenComparing(AdmissionClass::source);
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Waiting requests of one class, and how many of its requests were sent lately. */
+  /** Waiting requests of one class and the share of its recent requests that were sent. */
   private static final class ClassQueue {
     final FairQueue flows = new FairQueue();
     final ServedShare share;
@@ -48,38 +48,38 @@
     }
   }
 
-  /** Empty ones are kept, since their shares still count. There are few priorities. */
+  /** Includes empty queues, since their shares still count. There are few priorities. */
   private final TreeMap<AdmissionClass, ClassQueue> queues = new TreeMap<>();
 
-  private final ServedShare shareOfAll;
+  private final ServedShare overallShare;
   private int size;
 
   AdmissionQueue(long nowMillis) {
-    this.shareOfAll = new ServedShare(nowMillis);
+    this.overallShare = new ServedShare(nowMillis);
   }
 
-  /** A request has arrived; it counts for the shares whether it waits or not. */
-  void onCame(AdmissionRequest request, long nowMillis) {
+  /** Counts an arrived request in the shares, whether it waits or not. */
+  void onArrived(AdmissionRequest request, long nowMillis) {
     queues
         .computeIfAbsent(AdmissionClass.of(request), admissionClass -> new ClassQueue(nowMillis))
         .share
-        .onCame(nowMillis);
-    shareOfAll.onCame(nowMillis);
+        .onArrived(nowMillis);
+    overallShare.onArrived(nowMillis);
   }
 
-  /** A request was sent; it counts for the shares whether it waited or not. */
+  /** Counts a sent request in the shares, whether it waited or not. */
   void onSent(AdmissionRequest request, long nowMillis) {
     queues.get(AdmissionClass.of(request)).share.onSent(nowMillis);
-    shareOfAll.onSent(nowMillis);
+    overallShare.onSent(nowMillis);
   }
 
-  /** Adds a request; {@link #onCame} was called for it before. */
+  /** Adds a request, for which {@link #onArrived} was called before. */
   void add(AdmissionRequest request) {
     queues.get(AdmissionClass.of(request)).flows.add(request);
     size++;
   }
 
-  /** Takes a request out without having served it. */
+  /** Removes a request that was not served. */
   void remove(AdmissionRequest request) {
     FairQueue flows = queues.get(AdmissionClass.of(request)).flows;
     int before = flows.size();
@@ -87,32 +87,38 @@
     size -= before - flows.size();
   }
 
-  /** Removes the next request among those whose source has a place; empty if there is none. */
+  /**
+   * Removes and returns the next request among the sources that have a free slot; empty if there is
+   * none.
+   */
   Optional<AdmissionRequest> poll(Predicate<Source> hasPlace, long nowMillis) {
-    List<ClassQueue> open =
+    List<ClassQueue> available =
         queues.entrySet().stream()
             .filter(each -> hasPlace.test(each.getKey().source()))
             .map(Map.Entry::getValue)
             .filter(queue -> queue.flows.size() > 0)
             .toList();
-    Optional<ClassQueue> turn =
-        open.stream()
+    Optional<ClassQueue> position =
+        available.stream()
             .filter(queue -> isStarving(queue, nowMillis))
-            .min(Comparator.comparingDouble(queue -> queue.share.now(nowMillis)))
-            .or(() -> open.stream().findFirst());
-    turn.ifPresent(queue -> size--);
-    return turn.map(queue -> queue.flows.poll());
+            .min(Comparator.comparingDouble(queue -> queue.share.current(nowMillis)))
+            .or(() -> available.stream().findFirst());
+    position.ifPresent(queue -> size--);
+    return position.map(queue -> queue.flows.poll());
   }
 
   private boolean isStarving(ClassQueue queue, long nowMillis) {
-    return queue.share.now(nowMillis) < STARVING_PART_OF_SHARE * shareOfAll.now(nowMillis);
+    return queue.share.current(nowMillis)
+        < STARVING_FRACTION_OF_OVERALL_SHARE * overallShare.current(nowMillis);
   }
 
-  /** How many waiting requests go before this one, which need not be in the queue. */
-  int ahead(AdmissionRequest request, long nowMillis) {
+  /**
+   * Returns the number of waiting requests that go before this one, which need not be in the queue.
+   */
+  int countAhead(AdmissionRequest request, long nowMillis) {
     AdmissionClass admissionClass = AdmissionClass.of(request);
     ClassQueue own = queues.get(admissionClass);
-    int aheadInClass = own.flows.ahead(request);
+    int aheadInClass = own.flows.countAhead(request);
     if (isStarving(own, nowMillis)) {
       return aheadInClass;
     }
@@ -121,20 +127,23 @@
     return aheadInClass + before;
   }
 
-  /** All waiting requests, each with the number ahead of it as {@link #ahead} gives it. */
-  List<FairQueue.Turn> turns(long nowMillis) {
-    List<FairQueue.Turn> turns = new ArrayList<>(size);
+  /**
+   * Returns all waiting requests, each with the number of requests ahead of it as computed by
+   * {@link #countAhead}.
+   */
+  List<FairQueue.QueuePosition> positions(long nowMillis) {
+    List<FairQueue.QueuePosition> positions = new ArrayList<>(size);
     int before = 0;
     for (ClassQueue queue : queues.values()) {
-      queue.flows.addTurns(isStarving(queue, nowMillis) ? 0 : before, turns);
+      queue.flows.addPositions(isStarving(queue, nowMillis) ? 0 : before, positions);
       before += queue.flows.size();
     }
-    return turns;
+    return positions;
   }
 
   /**
-   * The request to reject when the queue is full: of the last class, the one with the latest
-   * deadline in the longest flow.
+   * Returns the request to reject when the queue is full: the one with the latest deadline in the
+   * longest flow of the least urgent class.
    */
   AdmissionRequest firstToReject() {
     return queues.descendingMap().values().stream()
@@ -145,7 +154,7 @@
         .lastOfLongestFlow();
   }
 
-  /** All waiting requests, in the order of their classes. */
+  /** Returns all waiting requests, ordered by class. */
   List<AdmissionRequest> all() {
     return queues.values().stream().flatMap(queue -> queue.flows.all()).toList();
   }
--- a/core/src/main/java/org/passhaven/core/admission/AdmissionRequest.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionRequest.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * The properties of a request by which its admission is decided.
+ * Properties of a request that decide on its admission.
  *
  * @param id unique among the requests of this node
- * @param service service whose servers are to run it
- * @param route its route: requests of one route take about as long as each other
- * @param tenant for whom it runs; empty where there are no tenants
- * @param source who sends it
- * @param priority priority of the tenant, or else of the route; 0 goes first
- * @param deadlineMillis when the caller stops waiting, in monotonic milliseconds
+ * @param service service whose servers run the request
+ * @param route route of the request; requests of one route take about equally long
+ * @param tenant tenant that the request runs for; empty if there are no tenants
+ * @param source who sends the request
+ * @param priority priority of the tenant, or else of the route; 0 is the most urgent
+ * @param deadlineMillis time at which the caller stops waiting, in monotonic milliseconds
  */
 public record AdmissionRequest(
     long id,
@@ -21,11 +21,11 @@
     Source source,
     int priority,
     long deadlineMillis) {
-  /** Who sends the request; within one priority the first value goes before the second. */
+  /** Sender of a request; within one priority the first constant goes before the second. */
   public enum Source {
     /** A caller that holds a connection open. */
     CALLER,
-    /** A job whose finished text is to be scored. */
+    /** A job that has its finished text scored. */
     SCORING
   }
 
--- a/core/src/main/java/org/passhaven/core/admission/AdmissionVerdict.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionVerdict.java
@@ -2,18 +2,20 @@
 
 import java.util.Objects;
 
-/** Decision on a request that asks for a place at a service. */
+/** Decision on a request that asks for a slot at a service. */
 public sealed interface AdmissionVerdict {
-  /** It is sent now. */
+  /** The request is sent now. */
   record Send() implements AdmissionVerdict {}
 
-  /** It waits; {@link ServiceAdmission#next} returns it when it may be sent or is rejected. */
+  /**
+   * The request waits; {@link ServiceAdmission#next} returns it when it may be sent or is rejected.
+   */
   record Wait() implements AdmissionVerdict {}
 
   /**
-   * It has not run and can't be served in time.
+   * The request has not run and can't be served in time.
    *
-   * @param retryAfterMillis time after which its caller is likely to find a place
+   * @param retryAfterMillis time after which the caller is likely to find a free slot
    */
   record Reject(Reason reason, long retryAfterMillis) implements AdmissionVerdict {
     public Reject {
@@ -21,17 +23,17 @@
     }
   }
 
-  /** Why a request is rejected. */
+  /** Reason for a rejection. */
   enum Reason {
-    /** No server of the service takes work. */
+    /** No server of the service accepts work. */
     NO_SERVER("no server"),
-    /** The answer is expected after the deadline. */
+    /** The response is expected after the deadline. */
     TOO_LATE("too little time is left to wait"),
     /** The expected wait would leave the caller no time for a retry. */
     TOO_LONG("the queue is too long"),
-    /** The queue is full, and other requests go before this one. */
+    /** The queue is full and only requests that go before this one are in it. */
     QUEUE_FULL("the queue is full"),
-    /** This node ends. */
+    /** This node is shutting down. */
     STOPPING("the node is stopping");
 
     private final String text;
@@ -40,7 +42,7 @@
       this.text = text;
     }
 
-    /** The reason in words, for callers and logs. */
+    /** Returns a description for callers and logs. */
     public String text() {
       return text;
     }
--- a/core/src/main/java/org/passhaven/core/admission/ConcurrencyLimit.java
+++ b/core/src/main/java/org/passhaven/core/admission/ConcurrencyLimit.java
@@ -1,20 +1,21 @@
 package org.passhaven.core.admission;
 
 /**
- * Most requests that this node has at a service's servers at once, adapted by additive increase and
- * multiplicative decrease. It starts at all places and one more for each server; the latter are
- * given up while answers show that requests queue there. Only refusals by full servers take it
- * below the places: slow answers may as well mean slow servers, which need all their places. It
- * rises again with each answer. Times in monotonic milliseconds. Not thread-safe.
+ * Limit on this node's concurrent requests to a service's servers, adapted by additive increase and
+ * multiplicative decrease. It starts at all slots plus one for each server; the extra ones are
+ * withheld while response times show that requests queue at the servers. Only refusals by full
+ * servers lower the limit below the number of slots: slow responses may just mean slow servers,
+ * which need all their slots. The limit rises again with each response. Times are in monotonic
+ * milliseconds. Not thread-safe.
  */
 final class ConcurrencyLimit {
   /**
-   * Answers that take more than this many times the shortest one show a queue at the servers: they
-   * have waited for at least one other request.
+   * Responses that take more than this many times the shortest one show that requests queue at the
+   * servers: such a request has waited for at least one other.
    */
   private static final double QUEUEING_RATIO = 2.0;
 
-  /** Weight of the newest answer in the moving average of ratios. */
+  /** Weight of the newest response in the moving average of ratios. */
   private static final double RATIO_WEIGHT = 0.3;
 
   /** Factor by which a refusal by a full server lowers the limit. */
@@ -26,41 +27,41 @@
   /** Time without signs of queueing after which the limit is reset to its maximum. */
   private static final long RESET_MILLIS = 1_000;
 
-  /** Before any time that is given, with no overflow when subtracted. */
-  private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+  /** Earlier than any time that is passed in; can be subtracted without overflow. */
+  private static final long DISTANT_PAST_MILLIS = Long.MIN_VALUE / 2;
 
   private int servers;
-  private int places;
+  private int slots;
   private double limit;
   private double ratio = 1;
-  private long decreasedAtMillis = LONG_AGO_MILLIS;
-  private long queueingAtMillis = LONG_AGO_MILLIS;
+  private long decreasedAtMillis = DISTANT_PAST_MILLIS;
+  private long queueingAtMillis = DISTANT_PAST_MILLIS;
 
-  /** The number of servers, or of their places in all, has changed. */
-  void onServers(int serverCount, int placeCount) {
+  /** Sets the number of servers and of their slots in total. */
+  void onServers(int serverCount, int slotCount) {
     boolean wasOpen = limit >= ceiling();
     servers = serverCount;
-    places = placeCount;
+    slots = slotCount;
     limit = wasOpen ? ceiling() : clamp(limit);
   }
 
   /**
-   * An answer has come.
+   * Records a response.
    *
-   * @param answerRatio time that it took, against the shortest of its kind
-   * @param isInUse whether as many requests were under way as the limit allows
+   * @param responseRatio its response time divided by the shortest one of the same route
+   * @param isInUse whether as many requests were in flight as the limit allows
    */
-  void onAnswer(double answerRatio, boolean isInUse, long nowMillis) {
-    ratio += RATIO_WEIGHT * (answerRatio - ratio);
+  void onResponse(double responseRatio, boolean isInUse, long nowMillis) {
+    ratio += RATIO_WEIGHT * (responseRatio - ratio);
     boolean isQueueing = ratio > QUEUEING_RATIO;
     if (isQueueing) {
       queueingAtMillis = nowMillis;
     }
     double wanted = isInUse ? limit + 1 : limit;
-    limit = Math.min(wanted, isQueueing ? places : ceiling());
+    limit = Math.min(wanted, isQueueing ? slots : ceiling());
   }
 
-  /** A server refused a request since it is full. */
+  /** Lowers the limit after a server has refused a request because it is full. */
   void onFull(long nowMillis) {
     queueingAtMillis = nowMillis;
     if (nowMillis - decreasedAtMillis >= MIN_DECREASE_INTERVAL_MILLIS) {
@@ -69,7 +70,7 @@
     }
   }
 
-  /** Requests that may be at the servers now. */
+  /** Returns the number of requests that may be in flight now. */
   int current(long nowMillis) {
     if (nowMillis - queueingAtMillis >= RESET_MILLIS) {
       limit = ceiling();
@@ -78,25 +79,25 @@
     return (int) limit;
   }
 
-  /** Places of the servers. */
-  int places() {
-    return places;
+  /** Returns the number of slots of all servers. */
+  int slots() {
+    return slots;
   }
 
   /**
-   * Lower bound of the limit, half of the places: while a node uses less than that, refusals are
-   * due to other nodes' requests.
+   * Returns the lower bound of the limit, half of the slots: below it, refusals are caused by
+   * requests of other nodes.
    */
   int floor() {
-    return (places + 1) / 2;
+    return (slots + 1) / 2;
   }
 
   /**
-   * Upper bound of the limit: all places, and one more for each server so that none is idle while
-   * an answer travels.
+   * Returns the upper bound of the limit: all slots, and one more for each server so that no slot
+   * is idle while a response is in transit.
    */
   private int ceiling() {
-    return places + servers;
+    return slots + servers;
   }
 
   private double clamp(double wanted) {
--- a/core/src/main/java/org/passhaven/core/admission/FairQueue.java
+++ b/core/src/main/java/org/passhaven/core/admission/FairQueue.java
@@ -8,10 +8,10 @@
 import java.util.stream.Stream;
 
 /**
- * Requests of one rank and source that wait, by start-time fair queueing among flows: the next
- * request is taken from the flow with the smallest virtual start time. A flow is one route's
- * requests of one tenant; in it the earliest deadline goes first. Ordering all routes by deadline
- * would starve those whose callers accept longer waits. Not thread-safe.
+ * Queue of waiting requests of one priority and source, with start-time fair queueing among flows:
+ * the next request is taken from the flow with the smallest virtual start time. A flow consists of
+ * the requests of one tenant and route; within a flow the earliest deadline goes first. Ordering
+ * all routes by deadline would starve those whose callers accept longer waits. Not thread-safe.
  */
 final class FairQueue {
   private static final Comparator<AdmissionRequest> BY_DEADLINE =
@@ -25,8 +25,8 @@
   private double virtualTime;
   private int size;
 
-  /** A waiting request, and how many go before it. */
-  record Turn(AdmissionRequest request, int ahead) {}
+  /** A waiting request and the number of requests that go before it. */
+  record QueuePosition(AdmissionRequest request, int ahead) {}
 
   private record FlowId(String tenant, String route) {
     static FlowId of(AdmissionRequest request) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Waiting requests of one flow, and the virtual start time of the next one. */
+  /** Waiting requests of one flow and the virtual start time of the next one. */
   private static final class Flow {
     final TreeSet<AdmissionRequest> waiting = new TreeSet<>(BY_DEADLINE);
     double virtualStart;
@@ -43,7 +43,7 @@
   void add(AdmissionRequest request) {
     Flow flow = flows.computeIfAbsent(FlowId.of(request), id -> new Flow());
     if (flow.waiting.isEmpty()) {
-      // A flow that was idle gains no credit for that time.
+      // An idle flow gains no credit for its idle time.
       flow.virtualStart = Math.max(flow.virtualStart, virtualTime);
     }
     flow.waiting.add(request);
@@ -55,11 +55,11 @@
     Flow flow = flows.get(FlowId.of(request));
     if (flow != null && flow.waiting.remove(request)) {
       size--;
-      forgetIdle();
+      removeIdleFlows();
     }
   }
 
-  /** Removes and returns the next request; there must be one. */
+  /** Removes and returns the next request; the queue must not be empty. */
   AdmissionRequest poll() {
     Flow flow =
         flows.values().stream()
@@ -70,17 +70,19 @@
     flow.virtualStart++;
     size--;
     AdmissionRequest request = flow.waiting.pollFirst();
-    forgetIdle();
+    removeIdleFlows();
     return request;
   }
 
   /** Removes empty flows whose virtual start time has passed. */
-  private void forgetIdle() {
+  private void removeIdleFlows() {
     flows.values().removeIf(each -> each.waiting.isEmpty() && each.virtualStart <= virtualTime);
   }
 
-  /** How many waiting requests go before this one, which need not be in the queue. */
-  int ahead(AdmissionRequest request) {
+  /**
+   * Returns the number of waiting requests that go before this one, which need not be in the queue.
+   */
+  int countAhead(AdmissionRequest request) {
     FlowId id = FlowId.of(request);
     Flow own = flows.get(id);
     int ownAhead = own == null ? 0 : own.waiting.headSet(request).size();
@@ -93,13 +95,13 @@
   }
 
   /**
-   * Adds all waiting requests, each with the number ahead of it as {@link #ahead} gives it: the
-   * requests of all flows up to the same position, itself not counted. Computed for all in one
-   * pass, since one at a time takes quadratic time.
+   * Adds all waiting requests to {@code positions}, each with the number of requests ahead of it as
+   * computed by {@link #countAhead}: the requests of all flows up to the same position, itself
+   * excluded. Computes all numbers in one pass, since one at a time takes quadratic time.
    *
-   * @param before requests of other queues that go before all of these
+   * @param before number of requests in other queues that go before all of these
    */
-  void addTurns(int before, List<Turn> turns) {
+  void addPositions(int before, List<QueuePosition> positions) {
     int longest = flows.values().stream().mapToInt(flow -> flow.waiting.size()).max().orElse(0);
     int[] upTo = new int[longest];
     for (Flow flow : flows.values()) {
@@ -113,12 +115,14 @@
     for (Flow flow : flows.values()) {
       int place = 0;
       for (AdmissionRequest request : flow.waiting) {
-        turns.add(new Turn(request, before + upTo[place++] - 1));
+        positions.add(new QueuePosition(request, before + upTo[place++] - 1));
       }
     }
   }
 
-  /** The request with the latest deadline in the longest flow; there must be one. */
+  /**
+   * Returns the request with the latest deadline in the longest flow; the queue must not be empty.
+   */
   AdmissionRequest lastOfLongestFlow() {
     return flows.values().stream()
         .max(Comparator.comparingInt(flow -> flow.waiting.size()))
--- a/core/src/main/java/org/passhaven/core/admission/RetryAfter.java
+++ b/core/src/main/java/org/passhaven/core/admission/RetryAfter.java
@@ -3,37 +3,40 @@
 import java.util.Objects;
 import java.util.function.IntUnaryOperator;
 
-/** Time after which the caller of a rejected request may retry. */
+/** Computes the time after which the caller of a rejected request may retry. */
 final class RetryAfter {
-  /** Shortest time: servers need it to answer some requests, so a sooner retry gains nothing. */
+  /** Minimum: servers need this long to serve some requests, so an earlier retry gains nothing. */
   static final long MIN_MILLIS = 100;
 
-  /** Longest time, as a part of the time that the caller has left: callers ignore longer ones. */
-  private static final int MAX_PART_OF_TIME_LEFT = 3;
+  /** The maximum is the caller's remaining time divided by this; callers ignore longer times. */
+  private static final int TIME_LEFT_DIVISOR = 3;
 
-  /** Priorities that differ in their time: each retries half a drain time after the one before. */
+  /**
+   * Highest priority number with a delay of its own: each priority retries half a drain time after
+   * the one before.
+   */
   private static final int MAX_PRIORITY = 4;
 
   private final IntUnaryOperator randomBelow;
 
   /**
-   * Creates the decision.
+   * Creates a calculator.
    *
-   * @param randomBelow random number from zero to below the argument
+   * @param randomBelow returns a random number from zero (inclusive) to its argument (exclusive)
    */
   RetryAfter(IntUnaryOperator randomBelow) {
     this.randomBelow = Objects.requireNonNull(randomBelow, "randomBelow");
   }
 
   /**
-   * The time, with random jitter of half a drain time so that callers that were rejected together
-   * don't retry together.
+   * Returns the time until the retry, with random jitter of half a drain time so that callers that
+   * were rejected together don't retry together.
    *
-   * @param drainMillis time until the present queue is likely to be empty
-   * @param leftMillis time that the caller has
+   * @param drainMillis time until the current queue is likely to be empty
+   * @param leftMillis time until the caller's deadline
    */
-  long millis(double drainMillis, int priority, long leftMillis) {
-    long maxMillis = Math.max(1, leftMillis / MAX_PART_OF_TIME_LEFT);
+  long delayMillis(double drainMillis, int priority, long leftMillis) {
+    long maxMillis = Math.max(1, leftMillis / TIME_LEFT_DIVISOR);
     long minMillis = Math.min(maxMillis, Math.max(MIN_MILLIS, (long) drainMillis));
     int bounded = Math.max(0, Math.min(MAX_PRIORITY, priority));
     long jitterMillis = Math.max(1, minMillis / 2);
--- a/core/src/main/java/org/passhaven/core/admission/ServedShare.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServedShare.java
@@ -3,31 +3,31 @@
 import org.passhaven.core.request.RateMeter;
 
 /**
- * Share of the recently received requests that were sent. Times in monotonic milliseconds. Not
+ * Share of the recently arrived requests that were sent. Times are in monotonic milliseconds. Not
  * thread-safe.
  */
 final class ServedShare {
-  private final RateMeter came;
+  private final RateMeter arrived;
   private final RateMeter sent;
 
   ServedShare(long nowMillis) {
-    this.came = new RateMeter(nowMillis);
+    this.arrived = new RateMeter(nowMillis);
     this.sent = new RateMeter(nowMillis);
   }
 
-  /** A request has arrived. */
-  void onCame(long nowMillis) {
-    came.mark(nowMillis);
+  /** Counts an arrived request. */
+  void onArrived(long nowMillis) {
+    arrived.mark(nowMillis);
   }
 
-  /** A request was sent. */
+  /** Counts a sent request. */
   void onSent(long nowMillis) {
     sent.mark(nowMillis);
   }
 
-  /** The present share, from zero to one; one if no request has arrived lately. */
-  double now(long nowMillis) {
-    double perSecond = came.perSecond(nowMillis);
+  /** Returns the current share, from zero to one; one if no request has arrived recently. */
+  double current(long nowMillis) {
+    double perSecond = arrived.perSecond(nowMillis);
     return perSecond > 0 ? Math.min(1, sent.perSecond(nowMillis) / perSecond) : 1;
   }
 }
--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -9,53 +9,50 @@
 import org.passhaven.core.admission.AdmissionRequest.Source;
 import org.passhaven.core.admission.AdmissionVerdict.Reason;
 import org.passhaven.core.admission.AdmissionVerdict.Reject;
-import org.passhaven.core.admission.FairQueue.Turn;
+import org.passhaven.core.admission.FairQueue.QueuePosition;
 
 /**
- * Whether requests of one service are sent, wait or are rejected at one node. It counts requests
- * that were sent and haven't ended, and knows servers by how long their answers take. Times in
- * monotonic milliseconds. Not thread-safe.
+ * Admission control for the requests of one node to one service: decides whether a request is sent,
+ * queued or rejected. It counts requests in flight and estimates the load of the servers from their
+ * response times. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ServiceAdmission {
-  /**
-   * Most waiting requests: bounds the memory they take, and is far more than can be served in time.
-   */
+  /** Bounds the memory of the queue; far more requests than can be served in time. */
   private static final int MAX_WAITING = 256;
 
   /**
-   * A third of the time to wait, a third until the caller comes back if it was in vain, a third for
-   * the second try.
+   * A request may wait for its remaining time divided by this: a third for waiting, a third until
+   * the caller retries after a rejection, a third for the second attempt.
    */
-  private static final int WAIT_PART_OF_TIME_LEFT = 3;
-
-  /** A node that stops ends after some seconds; what waits for longer is better off elsewhere. */
-  private static final long MAX_WAIT_STOPPING_MILLIS = 1_000;
+  private static final int WAIT_TIME_LEFT_DIVISOR = 3;
 
   /**
-   * Longest time told to callers while there is no server: servers are restarted within seconds.
+   * Maximum wait while the node is shutting down, which takes some seconds; requests that would
+   * wait longer are better retried at another node.
    */
+  private static final long MAX_WAIT_STOPPING_MILLIS = 1_000;
+
+  /** Maximum retry time given to callers during an outage: servers restart within seconds. */
   private static final long MAX_OUTAGE_RETRY_MILLIS = 2_000;
 
-  /** Time between two checks of the waiting requests; short against the time of an answer. */
+  /** Interval of the checks of waiting requests; short compared with a response time. */
   public static final long SWEEP_MILLIS = 10;
 
-  /** Assumed time of an answer until the first one has come. */
-  private static final double INITIAL_ANSWER_MILLIS = 30;
+  /** Assumed response time until the first response has arrived. */
+  private static final double INITIAL_RESPONSE_MILLIS = 30;
 
-  /** Weight of the newest answer in the moving average of answer times. */
-  private static final double ANSWER_WEIGHT = 0.1;
+  /** Weight of the newest response in the moving average of response times. */
+  private static final double RESPONSE_WEIGHT = 0.1;
 
-  /**
-   * A waiting request that may be sent now, or that is rejected since it can't be served in time.
-   */
+  /** Decision on a request that was waiting: it is sent now or rejected. */
   public record Change(AdmissionRequest request, AdmissionVerdict verdict) {}
 
   /**
-   * Figures for logs and metrics.
+   * Load figures for logs and metrics.
    *
-   * @param inProgress requests that were sent and have not ended
+   * @param inProgress requests in flight
    * @param waiting requests in the queue
-   * @param limit requests that may be at the servers
+   * @param limit maximum number of requests in flight
    */
   public record Load(int inProgress, int waiting, int limit) {}
 
@@ -63,18 +60,18 @@
   private final AdmissionQueue queue;
   private final RetryAfter retryAfter;
   private final Map<String, RouteLatency> latencies = new HashMap<>();
-  private final Map<Long, AdmissionRequest> started = new HashMap<>();
+  private final Map<Long, AdmissionRequest> inFlight = new HashMap<>();
   private final Map<Long, Long> waitUntilMillis = new HashMap<>();
-  private int callersStarted;
-  private double answerMillis = INITIAL_ANSWER_MILLIS;
+  private int callersInFlight;
+  private double responseMillis = INITIAL_RESPONSE_MILLIS;
   private long lastServerAtMillis;
-  private long stopWaitUntilMillis = Long.MAX_VALUE;
+  private long shutdownWaitUntilMillis = Long.MAX_VALUE;
   private long sweepAtMillis = Long.MIN_VALUE;
 
   /**
-   * Creates the admission to a service of which no server is known.
+   * Creates the admission control of a service without known servers.
    *
-   * @param randomBelow random number from zero to below the argument
+   * @param randomBelow returns a random number from zero (inclusive) to its argument (exclusive)
    */
   public ServiceAdmission(IntUnaryOperator randomBelow, long nowMillis) {
     this.retryAfter = new RetryAfter(randomBelow);
@@ -83,30 +80,30 @@
   }
 
   /**
-   * Servers that take new work now. Call {@link #next} afterwards.
+   * Sets the servers that accept new work. Call {@link #next} afterwards.
    *
-   * @param places requests that all of them work on at once
+   * @param slots number of requests that all of them process concurrently
    */
-  public void onServers(int servers, int places, long nowMillis) {
-    if (limit.places() > 0) {
+  public void onServers(int servers, int slots, long nowMillis) {
+    if (limit.slots() > 0) {
       lastServerAtMillis = nowMillis;
     }
-    limit.onServers(servers, places);
+    limit.onServers(servers, slots);
     sweepAtMillis = nowMillis;
   }
 
-  /** A request asks for a place. It holds one once it was told to be sent. */
+  /** Decides on a new request. It occupies a slot once the decision is to send it. */
   public AdmissionVerdict offer(AdmissionRequest request, long nowMillis) {
-    if (limit.places() == 0) {
+    if (limit.slots() == 0) {
       return reject(request, Reason.NO_SERVER, nowMillis);
     }
-    queue.onCame(request, nowMillis);
-    if (hasPlace(request.source(), nowMillis) && !isAwaited(request.source())) {
+    queue.onArrived(request, nowMillis);
+    if (hasSlot(request.source(), nowMillis) && !hasWaiting(request.source())) {
       start(request, nowMillis);
       return new AdmissionVerdict.Send();
     }
     long waitUntil = waitUntilMillis(request, nowMillis);
-    Optional<Reason> hopeless = hopeless(request, waitUntil, nowMillis);
+    Optional<Reason> hopeless = rejectionReason(request, waitUntil, nowMillis);
     if (hopeless.isPresent()) {
       return reject(request, hopeless.get(), nowMillis);
     }
@@ -123,55 +120,56 @@
     // A scoring is retried by this node itself, so rejecting it early gains nothing.
     return request.source() == Source.SCORING
         ? request.deadlineMillis()
-        : nowMillis + (request.deadlineMillis() - nowMillis) / WAIT_PART_OF_TIME_LEFT;
+        : nowMillis + (request.deadlineMillis() - nowMillis) / WAIT_TIME_LEFT_DIVISOR;
   }
 
-  private boolean isAwaited(Source source) {
+  private boolean hasWaiting(Source source) {
     return queue.size() > 0 && queue.all().stream().anyMatch(each -> each.source() == source);
   }
 
   /**
-   * Callers may always use half of the places in addition, even while scorings hold all of them.
+   * Callers may always use half of the slots in addition, even while scorings occupy all of them.
    */
-  private boolean hasPlace(Source source, long nowMillis) {
-    return started.size() < limit.current(nowMillis)
-        || (source == Source.CALLER && callersStarted < limit.floor());
+  private boolean hasSlot(Source source, long nowMillis) {
+    return inFlight.size() < limit.current(nowMillis)
+        || (source == Source.CALLER && callersInFlight < limit.floor());
   }
 
   private void start(AdmissionRequest request, long nowMillis) {
     queue.onSent(request, nowMillis);
-    started.put(request.id(), request);
-    callersStarted += request.source() == Source.CALLER ? 1 : 0;
+    inFlight.put(request.id(), request);
+    callersInFlight += request.source() == Source.CALLER ? 1 : 0;
   }
 
-  /** Why a request can't wait any longer; empty if it can. */
-  private Optional<Reason> hopeless(
+  /** Returns the reason to reject a waiting request; empty if it may go on waiting. */
+  private Optional<Reason> rejectionReason(
       AdmissionRequest request, long waitUntilMillis, long nowMillis) {
-    return hopeless(request, queue.ahead(request, nowMillis), waitUntilMillis, nowMillis);
+    return rejectionReason(
+        request, queue.countAhead(request, nowMillis), waitUntilMillis, nowMillis);
   }
 
-  private Optional<Reason> hopeless(
+  private Optional<Reason> rejectionReason(
       AdmissionRequest request, int ahead, long waitUntilMillis, long nowMillis) {
-    if (limit.places() == 0) {
+    if (limit.slots() == 0) {
       return Optional.of(Reason.NO_SERVER);
     }
-    double startAt = nowMillis + (ahead + 1) * millisPerPlace(nowMillis);
-    if (startAt + expectedWorkMillis(request, nowMillis) > request.deadlineMillis()) {
+    double startMillis = nowMillis + (ahead + 1) * millisPerFreedSlot(nowMillis);
+    if (startMillis + expectedWorkMillis(request, nowMillis) > request.deadlineMillis()) {
       return Optional.of(Reason.TOO_LATE);
     }
-    return startAt > Math.min(waitUntilMillis, stopWaitUntilMillis)
+    return startMillis > Math.min(waitUntilMillis, shutdownWaitUntilMillis)
         ? Optional.of(Reason.TOO_LONG)
         : Optional.empty();
   }
 
-  /** Expected time until a request is sent that waits or would wait. */
+  /** Returns the expected time until a request is sent that waits or would wait. */
   public double expectedWaitMillis(AdmissionRequest request, long nowMillis) {
-    return (queue.ahead(request, nowMillis) + 1) * millisPerPlace(nowMillis);
+    return (queue.countAhead(request, nowMillis) + 1) * millisPerFreedSlot(nowMillis);
   }
 
-  /** Mean time between two places becoming free while the limit is used up. */
-  private double millisPerPlace(long nowMillis) {
-    return answerMillis / Math.max(1, limit.current(nowMillis));
+  /** Returns the mean time between two slots becoming free while the limit is used up. */
+  private double millisPerFreedSlot(long nowMillis) {
+    return responseMillis / Math.max(1, limit.current(nowMillis));
   }
 
   private double expectedWorkMillis(AdmissionRequest request, long nowMillis) {
@@ -183,42 +181,45 @@
     return new Reject(reason, retryAfterMillis(request, nowMillis));
   }
 
-  /** When the caller of a request that was not run may come back. */
+  /** Returns the time after which the caller of a request that was not run may retry. */
   public long retryAfterMillis(AdmissionRequest request, long nowMillis) {
     long left = request.deadlineMillis() - nowMillis;
     if (request.source() == Source.SCORING) {
       // This node itself retries, and a training step waits for its last scoring.
-      return retryAfter.millis(0, 0, left);
+      return retryAfter.delayMillis(0, 0, left);
     }
-    // An outage is likely to last about as long again as it has lasted.
+    // An outage is expected to last about as long again as it has lasted.
     double drainMillis =
-        limit.places() == 0
+        limit.slots() == 0
             ? Math.min(MAX_OUTAGE_RETRY_MILLIS, nowMillis - lastServerAtMillis)
-            : queue.size() * millisPerPlace(nowMillis);
-    return retryAfter.millis(drainMillis, request.priority(), left);
+            : queue.size() * millisPerFreedSlot(nowMillis);
+    return retryAfter.delayMillis(drainMillis, request.priority(), left);
   }
 
-  /** A server has answered a request with success. */
+  /** Records a successful response of a server. */
   public void onAnswer(AdmissionRequest request, long tookMillis, long nowMillis) {
     latencies.values().removeIf(each -> each.isIdle(nowMillis));
     double ratio =
         latencies
             .computeIfAbsent(request.route(), route -> new RouteLatency())
-            .onAnswer(tookMillis, nowMillis);
-    answerMillis += ANSWER_WEIGHT * (tookMillis - answerMillis);
-    boolean isInUse = started.size() >= limit.current(nowMillis);
-    limit.onAnswer(ratio, isInUse, nowMillis);
+            .onResponse(tookMillis, nowMillis);
+    responseMillis += RESPONSE_WEIGHT * (tookMillis - responseMillis);
+    boolean isInUse = inFlight.size() >= limit.current(nowMillis);
+    limit.onResponse(ratio, isInUse, nowMillis);
   }
 
-  /** A server refused a request since it is full. */
+  /** Records that a server refused a request because it is full. */
   public void onFull(long nowMillis) {
     limit.onFull(nowMillis);
   }
 
-  /** A request has ended, or its caller has left, whether it was sent or waits. */
+  /**
+   * Removes a request that has ended or whose caller has disconnected, whether it was sent or
+   * waits.
+   */
   public void onEnded(AdmissionRequest request) {
-    if (started.remove(request.id()) != null) {
-      callersStarted -= request.source() == Source.CALLER ? 1 : 0;
+    if (inFlight.remove(request.id()) != null) {
+      callersInFlight -= request.source() == Source.CALLER ? 1 : 0;
     } else if (waitUntilMillis.remove(request.id()) != null) {
       queue.remove(request);
     }
@@ -226,48 +227,48 @@
 
   /**
    * Decides which waiting requests are sent now and which are rejected. Call it when a request has
-   * ended, when servers have changed, and every {@link #SWEEP_MILLIS} while any wait.
+   * ended, when servers have changed, and every {@link #SWEEP_MILLIS} while requests wait.
    */
   public List<Change> next(long nowMillis) {
     List<Change> changes = new ArrayList<>();
-    sendWhileThereIsRoom(changes, nowMillis);
-    rejectHopeless(changes, nowMillis);
+    sendWhileSlotsAreFree(changes, nowMillis);
+    rejectUnservable(changes, nowMillis);
     return changes;
   }
 
-  private void sendWhileThereIsRoom(List<Change> changes, long nowMillis) {
-    while (limit.places() > 0 && queue.size() > 0) {
-      Optional<AdmissionRequest> turn =
-          queue.poll(source -> hasPlace(source, nowMillis), nowMillis);
-      if (turn.isEmpty()) {
+  private void sendWhileSlotsAreFree(List<Change> changes, long nowMillis) {
+    while (limit.slots() > 0 && queue.size() > 0) {
+      Optional<AdmissionRequest> position =
+          queue.poll(source -> hasSlot(source, nowMillis), nowMillis);
+      if (position.isEmpty()) {
         return;
       }
-      waitUntilMillis.remove(turn.get().id());
-      start(turn.get(), nowMillis);
-      changes.add(new Change(turn.get(), new AdmissionVerdict.Send()));
+      waitUntilMillis.remove(position.get().id());
+      start(position.get(), nowMillis);
+      changes.add(new Change(position.get(), new AdmissionVerdict.Send()));
     }
   }
 
-  private void rejectHopeless(List<Change> changes, long nowMillis) {
+  private void rejectUnservable(List<Change> changes, long nowMillis) {
     while (queue.size() > MAX_WAITING) {
-      takeOut(queue.firstToReject(), Reason.QUEUE_FULL, changes, nowMillis);
+      rejectWaiting(queue.firstToReject(), Reason.QUEUE_FULL, changes, nowMillis);
     }
     if (nowMillis < sweepAtMillis) {
       return;
     }
     sweepAtMillis = nowMillis + SWEEP_MILLIS;
-    for (Turn turn : queue.turns(nowMillis)) {
-      AdmissionRequest request = turn.request();
+    for (QueuePosition position : queue.positions(nowMillis)) {
+      AdmissionRequest request = position.request();
       long waitUntil = waitUntilMillis.get(request.id());
       // Rejections earlier in this loop shorten the wait of later requests: check again.
-      if (hopeless(request, turn.ahead(), waitUntil, nowMillis).isPresent()) {
-        hopeless(request, waitUntil, nowMillis)
-            .ifPresent(reason -> takeOut(request, reason, changes, nowMillis));
+      if (rejectionReason(request, position.ahead(), waitUntil, nowMillis).isPresent()) {
+        rejectionReason(request, waitUntil, nowMillis)
+            .ifPresent(reason -> rejectWaiting(request, reason, changes, nowMillis));
       }
     }
   }
 
-  private void takeOut(
+  private void rejectWaiting(
       AdmissionRequest request, Reason reason, List<Change> changes, long nowMillis) {
     Reject verdict = reject(request, reason, nowMillis);
     queue.remove(request);
@@ -275,20 +276,20 @@
     changes.add(new Change(request, verdict));
   }
 
-  /** The node begins to stop: from now on requests wait for a short time only. */
+  /** Limits the wait of requests because the node has begun to shut down. */
   public void stop(long nowMillis) {
-    stopWaitUntilMillis = nowMillis + MAX_WAIT_STOPPING_MILLIS;
+    shutdownWaitUntilMillis = nowMillis + MAX_WAIT_STOPPING_MILLIS;
   }
 
-  /** The node ends: all waiting requests are rejected. */
+  /** Rejects all waiting requests because the node shuts down now. */
   public List<Change> end(long nowMillis) {
     List<Change> changes = new ArrayList<>();
-    queue.all().forEach(request -> takeOut(request, Reason.STOPPING, changes, nowMillis));
+    queue.all().forEach(request -> rejectWaiting(request, Reason.STOPPING, changes, nowMillis));
     return changes;
   }
 
-  /** Present figures for logs and metrics. */
+  /** Returns the current load figures for logs and metrics. */
   public Load load(long nowMillis) {
-    return new Load(started.size(), queue.size(), limit.current(nowMillis));
+    return new Load(inFlight.size(), queue.size(), limit.current(nowMillis));
   }
 }
--- a/core/src/main/java/org/passhaven/core/admission/package-info.java
+++ b/core/src/main/java/org/passhaven/core/admission/package-info.java
@@ -1,2 +1,5 @@
-/** Whether a request is sent to a service now, waits for a place, or is rejected. Pure. */
+/**
+ * Admission control: decides whether a request to a service is sent, queued or rejected. Pure logic
+ * without I/O.
+ */
 package org.passhaven.core.admission;
--- a/core/src/test/java/org/passhaven/core/admission/AdmissionQueueTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/AdmissionQueueTest.java
@@ -10,7 +10,8 @@
 import org.passhaven.core.admission.AdmissionRequest.Source;
 
 /**
- * The two ways to compute how many requests go before each, on a random queue of mixed requests.
+ * Guards against a difference between the bulk and the single computation of how many requests go
+ * before each one, on random queues.
  */
 class AdmissionQueueTest {
   private static final int REQUESTS = 300;
@@ -28,23 +29,26 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-  void turnsAgreeWithAheadOfEachRequest(long seed) {
+  void bulkPositionsMatchPositionOfEachRequest(long seed) {
     Random random = new Random(seed);
     AdmissionQueue queue = new AdmissionQueue(0);
     long now = 0;
     for (long id = 0; id < REQUESTS; id++) {
       AdmissionRequest request = request(id, random);
       now += random.nextInt(20);
-      queue.onCame(request, now);
+      queue.onArrived(request, now);
       queue.add(request);
       if (random.nextInt(3) == 0) {
         long at = now;
-        queue.poll(source -> random.nextBoolean(), at).ifPresent(turn -> queue.onSent(turn, at));
+        queue
+            .poll(source -> random.nextBoolean(), at)
+            .ifPresent(position -> queue.onSent(position, at));
       }
-      List<FairQueue.Turn> turns = queue.turns(now);
-      assertThat(turns.stream().map(FairQueue.Turn::request).toList(), equalTo(queue.all()));
-      for (FairQueue.Turn turn : turns) {
-        assertThat(turn.ahead(), equalTo(queue.ahead(turn.request(), now)));
+      List<FairQueue.QueuePosition> positions = queue.positions(now);
+      assertThat(
+          positions.stream().map(FairQueue.QueuePosition::request).toList(), equalTo(queue.all()));
+      for (FairQueue.QueuePosition position : positions) {
+        assertThat(position.ahead(), equalTo(queue.countAhead(position.request(), now)));
       }
     }
   }
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -31,7 +31,8 @@
 import org.passhaven.core.admission.ServiceAdmission.Change;
 
 /**
- * Two servers of four places each: the limit is one more for each server, and its floor is half.
+ * Guards against unfair or overloading admission decisions, with two servers of four slots each:
+ * the limit is one more for each server, its lower bound half of the slots.
  */
 class ServiceAdmissionTest {
   private static final int SERVERS = 2;
@@ -89,7 +90,7 @@
     return changes;
   }
 
-  /** Ends the request that was sent first; returns what this changes. */
+  /** Ends the request that was sent first and returns the resulting decisions. */
   private List<Change> endOne() {
     AdmissionRequest first = running.poll();
     admission.onAnswer(first, WORK_MILLIS, now);
@@ -108,7 +109,7 @@
   }
 
   /** Ends requests at the rate of the servers for a while; {@code arrive} runs each millisecond. */
-  private void play(long lengthMillis, Runnable arrive) {
+  private void simulate(long lengthMillis, Runnable arrive) {
     double due = 0;
     for (long end = now + lengthMillis; now < end; now++) {
       arrive.run();
@@ -121,7 +122,7 @@
   }
 
   @Test
-  void whileThereArePlacesNothingWaits() {
+  void requestsAreSentWhileSlotsAreFree() {
     for (int i = 0; i < LIMIT; i++) {
       assertThat(offer("a", Source.SCORING, 2), instanceOf(Send.class));
     }
@@ -129,7 +130,7 @@
   }
 
   @Test
-  void scoringsThatHaveAllPlacesKeepNoCallerWaiting() {
+  void callersAreSentWhileScoringsOccupyAllSlots() {
     fill(Source.SCORING);
     for (int i = 0; i < FLOOR; i++) {
       assertThat(offer("a", Source.CALLER, 2), instanceOf(Send.class));
@@ -138,7 +139,7 @@
   }
 
   @Test
-  void callersGoBeforeScoringsOfTheirRank() {
+  void callersGoBeforeScoringsOfTheSamePriority() {
     fill(Source.SCORING);
     fill(Source.CALLER);
     List<Source> order = new ArrayList<>();
@@ -153,10 +154,10 @@
     assertThat(order.subList(7, 14).stream().distinct().toList(), is(List.of(Source.SCORING)));
   }
 
-  /** One tenant sends twice as many requests as can be served, another one a request a second. */
+  /** One tenant sends twice as many requests as can be served, another one request a second. */
   @Test
-  void aTenantThatFloodsStarvesNoOther() {
-    play(
+  void anOverloadingTenantDoesNotStarveOthers() {
+    simulate(
         20_000,
         () -> {
           if (now % 5 < 2) {
@@ -175,8 +176,8 @@
    * served.
    */
   @Test
-  void aRouteWhoseCallersWaitLongerIsNotStarvedByOneWhoseWaitLess() {
-    play(
+  void aRouteWithLongDeadlinesIsNotStarvedByOneWithShortDeadlines() {
+    simulate(
         20_000,
         () -> {
           if (now % 4 == 0) {
@@ -190,10 +191,10 @@
     assertThat(served("long"), greaterThan(1_500));
   }
 
-  /** The more urgent requests alone are more than can be served. */
+  /** The more urgent requests alone exceed the capacity. */
   @Test
-  void anUrgentFloodIsServedMoreOftenAndTheOthersAQuarterAsOftenAsAllAtLeast() {
-    play(
+  void urgentOverloadLeavesLessUrgentRequestsAQuarterOfTheOverallShare() {
+    simulate(
         20_000,
         () -> {
           if (now % 4 == 0) {
@@ -211,8 +212,8 @@
   }
 
   @Test
-  void aLaterRankFloodTakesNothingFromUrgentOnes() {
-    play(
+  void lessUrgentOverloadDoesNotDelayUrgentRequests() {
+    simulate(
         10_000,
         () -> {
           offer("later", Source.CALLER, 3);
@@ -224,10 +225,10 @@
     assertThat(rejected.getOrDefault("urgentCALLER0", 0), equalTo(0));
   }
 
-  /** Callers fill all places and the queue, while a runner sends a few scorings. */
+  /** Callers fill all slots and the queue while a runner sends a few scorings. */
   @Test
-  void scoringsOfALaterRankAreServedAQuarterAsOftenAsAllAtLeastAndNoMoreThanCallers() {
-    play(
+  void lessUrgentScoringsGetAQuarterOfTheOverallShareAndNoMoreThanCallers() {
+    simulate(
         20_000,
         () -> {
           offer("a", Source.CALLER, 0);
@@ -241,16 +242,16 @@
   }
 
   @Test
-  void whatCantBeServedInTimeIsRejectedAtOnce() {
+  void requestsThatCannotMeetTheirDeadlineAreRejectedAtOnce() {
     fill(Source.CALLER);
-    play(200, () -> fill(Source.CALLER));
+    simulate(200, () -> fill(Source.CALLER));
     AdmissionVerdict verdict = offer(request("a", Source.CALLER, 2, 30));
     assertThat(((Reject) verdict).reason(), is(Reason.TOO_LATE));
   }
 
-  /** Answer times of minutes ago, when servers were slow, must not cause rejections now. */
+  /** Response times measured minutes ago, when servers were slow, must not cause rejections now. */
   @Test
-  void howLongARouteOnceTookIsForgotten() {
+  void outdatedResponseTimesOfARouteAreForgotten() {
     AdmissionRequest slow = request("a", Source.CALLER, 2, DEADLINE_MILLIS);
     admission.onAnswer(slow, 3 * DEADLINE_MILLIS, now);
     now += 60_000;
@@ -261,7 +262,7 @@
   }
 
   @Test
-  void aQueueOfMoreThanAThirdOfTheTimeIsNotJoined() {
+  void requestsAreRejectedIfTheWaitExceedsAThirdOfTheirTime() {
     AdmissionVerdict verdict = new Wait();
     for (int i = 0; !(verdict instanceof Reject) && i < 1_000; i++) {
       verdict = offer(request("a", Source.CALLER, 2, 500));
@@ -274,7 +275,7 @@
   }
 
   @Test
-  void noOneWaitsUntilTheDeadlineIfPlacesStopComingFree() {
+  void waitingRequestsAreRejectedBeforeTheDeadlineIfNoSlotBecomesFree() {
     fill(Source.CALLER);
     int waiting = admission.load(now).waiting();
     now += DEADLINE_MILLIS / 3;
@@ -284,7 +285,7 @@
   }
 
   @Test
-  void withoutServersEverythingIsRejectedAtOnceThoseThatWaitToo() {
+  void newAndWaitingRequestsAreRejectedWithoutServers() {
     fill(Source.CALLER);
     offer("a", Source.SCORING, 2);
     int waiting = admission.load(now).waiting();
@@ -300,7 +301,7 @@
   }
 
   @Test
-  void withFewerServersThoseThatNoLongerCanBeInTimeAreRejected() {
+  void requestsThatCannotMeetTheirDeadlineWithFewerServersAreRejected() {
     fill(Source.CALLER);
     for (int i = 0; i < 60; i++) {
       offer(request("a", Source.CALLER, 2, 900));
@@ -314,7 +315,7 @@
   }
 
   @Test
-  void theLongerAnOutageTheLaterCallersComeBack() {
+  void retryAfterGrowsWithTheLengthOfAnOutage() {
     admission.onServers(0, 0, now);
     long soon = ((Reject) offer("a", Source.CALLER, 0)).retryAfterMillis();
     now += 400;
@@ -324,7 +325,7 @@
   }
 
   @Test
-  void thoseRejectedTogetherComeBackApartAndLaterRanksLater() {
+  void retriesAreJitteredAndLessUrgentOnesComeLater() {
     TreeSet<Long> first = new TreeSet<>();
     TreeSet<Long> second = new TreeSet<>();
     for (int i = 0; i < 200; i++) {
@@ -336,7 +337,7 @@
   }
 
   @Test
-  void whoseCallerLeftLeavesTheQueueAndTakesNoPlace() {
+  void requestOfADisconnectedCallerLeavesTheQueueAndOccupiesNoSlot() {
     fill(Source.CALLER);
     AdmissionRequest left = request("a", Source.CALLER, 2, DEADLINE_MILLIS);
     offer(left);
@@ -351,7 +352,7 @@
   }
 
   @Test
-  void whileTheNodeStopsNothingWaitsForLongAndAtItsEndNothing() {
+  void requestsWaitOnlyBrieflyWhileTheNodeStops() {
     fill(Source.SCORING);
     admission.stop(now);
     assertThat(next(), empty());
@@ -362,7 +363,7 @@
   }
 
   @Test
-  void theEndRejectsWhatWaitsAndNothingThatWasSent() {
+  void shutdownRejectsWaitingRequestsButNotSentOnes() {
     fill(Source.SCORING);
     List<Change> changes = admission.end(now);
     assertThat(changes, hasSize(1));
@@ -371,18 +372,18 @@
     assertThat(admission.load(now).inProgress(), equalTo(LIMIT));
   }
 
-  /** A flood of one tenant fills the queue; another tenant's request replaces one of the flood. */
+  /** One tenant's requests fill the queue; another tenant's request replaces one of them. */
   @Test
-  void aFullQueueMakesRoomForWhoHasLess() {
+  void aFullQueueReplacesARequestOfTheLongestFlow() {
     for (int i = 0; i < 1_000; i++) {
       offer(request("flood", Source.SCORING, 2, 60_000));
     }
-    int most = admission.load(now).waiting();
+    int maxWaiting = admission.load(now).waiting();
     AdmissionRequest other = request("quiet", Source.SCORING, 2, 60_000);
     assertThat(offer(other), instanceOf(Wait.class));
     List<Change> changes = next();
     assertThat(changes, hasSize(1));
     assertThat(changes.get(0).request().tenant(), equalTo("flood"));
-    assertThat(admission.load(now).waiting(), equalTo(most));
+    assertThat(admission.load(now).waiting(), equalTo(maxWaiting));
   }
 }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -16,8 +16,8 @@
 
 /**
  * Simulation of a few servers of one service, runners that send them bursts of scorings, and
- * callers at other nodes. Nodes notice each other only by the times of their answers. Time is
- * virtual, draws are seeded.
+ * callers at other nodes. Nodes notice each other only through response times. Time is virtual,
+ * random numbers are seeded.
  */
 final class SharedServers {
   static final int SLOTS = 6;
@@ -30,11 +30,11 @@
   private static final long SCORE_DEADLINE_MILLIS = 2_500;
   private static final long CALLER_DEADLINE_MILLIS = 2_000;
 
-  /** Number of servers, and the times of a scoring's and a caller's work. */
+  /** Number of servers and the processing times of a scoring and of a caller's request. */
   record Work(int servers, long scoringMillis, long callerMillis) {}
 
-  /** Results: times of callers and bursts in milliseconds, and counts. */
-  static final class Seen {
+  /** Response times of callers and durations of bursts in milliseconds, and counters. */
+  static final class Results {
     final List<Long> callers = new ArrayList<>();
     final List<Long> bursts = new ArrayList<>();
     int callersRefused;
@@ -42,28 +42,28 @@
     int waits;
     int rejects;
 
-    long callerPart(double part) {
-      return quantile(callers, part);
+    long callerQuantile(double fraction) {
+      return quantile(callers, fraction);
     }
 
-    long burstPart(double part) {
-      return quantile(bursts, part);
+    long burstQuantile(double fraction) {
+      return quantile(bursts, fraction);
     }
 
-    private static long quantile(List<Long> values, double part) {
+    private static long quantile(List<Long> values, double fraction) {
       List<Long> sorted = values.stream().sorted().toList();
-      return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
+      return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(fraction * sorted.size())));
     }
 
     @Override
     public String toString() {
       return "callers p50/p99 %d/%d refused %d, bursts p50/p99 %d/%d, full %d waits %d rejects %d"
           .formatted(
-              callerPart(0.5),
-              callerPart(0.99),
+              callerQuantile(0.5),
+              callerQuantile(0.99),
               callersRefused,
-              burstPart(0.5),
-              burstPart(0.99),
+              burstQuantile(0.5),
+              burstQuantile(0.99),
               serverRefusals,
               waits,
               rejects);
@@ -79,7 +79,7 @@
   private final Work work;
   private final boolean isLimited;
   private final List<Server> servers;
-  private final Seen seen = new Seen();
+  private final Results results = new Results();
   private long now;
   private long ids;
 
@@ -92,45 +92,46 @@
         IntStream.range(0, work.servers()).mapToObj(i -> new Server(i % 3 == 2 ? 1.5 : 1)).toList();
   }
 
-  private void after(long millis, Runnable run) {
+  private void schedule(long millis, Runnable run) {
     events.add(new Event(now + millis, ids++, run));
   }
 
-  /** Runs until no event is left. */
-  Seen play() {
+  /** Runs the simulation until no event is left. */
+  Results simulate() {
     while (!events.isEmpty()) {
       Event next = events.poll();
       now = next.atMillis();
       next.run().run();
     }
-    return seen;
+    return results;
   }
 
-  /** Makes the first {@code count} servers slower from a time on. */
+  /** Makes the first {@code count} servers slower from a given time on. */
   void slow(long atMillis, int count, double factor) {
-    after(atMillis, () -> servers.subList(0, count).forEach(server -> server.slowness *= factor));
+    schedule(
+        atMillis, () -> servers.subList(0, count).forEach(server -> server.slowness *= factor));
   }
 
-  /** Adds callers at random times, each at a node of its own. */
+  /** Adds callers at random times, each at its own node. */
   void callers(double perSecond, long lengthMillis) {
     double at = 0;
     while (at < lengthMillis) {
       at += -Math.log(1 - random.nextDouble()) / perSecond * 1_000;
       Node node = new Node();
-      after((long) at, () -> call(node, now, 1));
+      schedule((long) at, () -> call(node, now, 1));
     }
   }
 
   private void call(Node node, long beganAt, int retries) {
     Item item = node.item(Source.CALLER, work.callerMillis(), now + CALLER_DEADLINE_MILLIS);
-    node.ask(
+    node.submit(
         item,
-        () -> seen.callers.add(now - beganAt),
+        () -> results.callers.add(now - beganAt),
         retryAfter -> {
           if (retries > 0) {
-            after(retryAfter, () -> call(node, beganAt, retries - 1));
+            schedule(retryAfter, () -> call(node, beganAt, retries - 1));
           } else {
-            seen.callersRefused++;
+            results.callersRefused++;
           }
         });
   }
@@ -140,12 +141,15 @@
     for (int i = 0; i < runners; i++) {
       Node node = new Node();
       for (long at = 500; at < lengthMillis; at += 1_000) {
-        after(at + random.nextInt(100), () -> new Burst(node, size).begin());
+        schedule(at + random.nextInt(100), () -> new Burst(node, size).begin());
       }
     }
   }
 
-  /** Scorings of one node, of which at most {@link #FIXED_AT_ONCE} ask for a place at once. */
+  /**
+   * A burst of scorings of one node, of which at most {@link #FIXED_AT_ONCE} submit for a slot
+   * concurrently.
+   */
   private final class Burst {
     private final Node node;
     private final long beganAt = now;
@@ -169,14 +173,14 @@
 
     private void score() {
       Item item = node.item(Source.SCORING, work.scoringMillis(), now + SCORE_DEADLINE_MILLIS);
-      node.ask(item, this::onScored, retryAfter -> after(retryAfter, this::score));
+      node.submit(item, this::onScored, retryAfter -> schedule(retryAfter, this::score));
     }
 
     private void onScored() {
       atOnce--;
       running--;
       if (running == 0) {
-        seen.bursts.add(now - beganAt);
+        results.bursts.add(now - beganAt);
       }
       begin();
     }
@@ -187,7 +191,7 @@
 
   private record Waiting(Item item, Runnable onServed, Consumer<Long> onRefused) {}
 
-  /** A node, which sends to the server with the fewest requests of its own. */
+  /** A node, which sends each request to the server with the fewest of its own requests. */
   private final class Node {
     private final Map<Server, Integer> own = new HashMap<>();
     private final Map<Long, Waiting> waiting = new HashMap<>();
@@ -203,73 +207,74 @@
       return new Item(request, workMillis, new HashMap<>(), new int[1]);
     }
 
-    void ask(Item item, Runnable onServed, Consumer<Long> onRefused) {
-      Waiting asked = new Waiting(item, onServed, onRefused);
+    void submit(Item item, Runnable onServed, Consumer<Long> onRefused) {
+      Waiting submitted = new Waiting(item, onServed, onRefused);
       if (!isLimited) {
-        send(asked);
+        send(submitted);
         return;
       }
       AdmissionVerdict verdict = admission.offer(item.request(), now);
       if (verdict instanceof AdmissionVerdict.Send) {
-        send(asked);
+        send(submitted);
       } else if (verdict instanceof AdmissionVerdict.Reject reject) {
-        seen.rejects++;
+        results.rejects++;
         onRefused.accept(reject.retryAfterMillis());
       } else {
-        seen.waits++;
-        waiting.put(item.request().id(), asked);
+        results.waits++;
+        waiting.put(item.request().id(), submitted);
       }
     }
 
     private void pump() {
       for (Change change : admission.next(now)) {
-        Waiting asked = waiting.remove(change.request().id());
+        Waiting submitted = waiting.remove(change.request().id());
         if (change.verdict() instanceof AdmissionVerdict.Reject reject) {
-          seen.rejects++;
-          asked.onRefused().accept(reject.retryAfterMillis());
+          results.rejects++;
+          submitted.onRefused().accept(reject.retryAfterMillis());
         } else {
-          send(asked);
+          send(submitted);
         }
       }
     }
 
-    private void send(Waiting asked) {
+    private void send(Waiting submitted) {
       Server server =
           servers.stream()
               .min(
-                  Comparator.comparing((Server each) -> asked.item().tried().containsKey(each))
+                  Comparator.comparing((Server each) -> submitted.item().tried().containsKey(each))
                       .thenComparing(each -> own.getOrDefault(each, 0))
                       .thenComparing(each -> random.nextInt()))
               .orElseThrow();
-      asked.item().tried().put(server, true);
+      submitted.item().tried().put(server, true);
       own.merge(server, 1, Integer::sum);
       long sentAt = now;
-      after(
+      schedule(
           LINK_MILLIS,
           () ->
               server.take(
-                  asked.item().workMillis(),
-                  isServed -> after(LINK_MILLIS, () -> onAnswer(asked, server, isServed, sentAt))));
+                  submitted.item().workMillis(),
+                  isServed ->
+                      schedule(LINK_MILLIS, () -> onAnswer(submitted, server, isServed, sentAt))));
     }
 
-    private void onAnswer(Waiting asked, Server server, boolean isServed, long sentAt) {
+    private void onAnswer(Waiting submitted, Server server, boolean isServed, long sentAt) {
       own.merge(server, -1, Integer::sum);
-      AdmissionRequest request = asked.item().request();
+      AdmissionRequest request = submitted.item().request();
       if (isServed) {
         admission.onAnswer(request, now - sentAt, now);
         admission.onEnded(request);
-        asked.onServed().run();
+        submitted.onServed().run();
         pump();
         return;
       }
-      seen.serverRefusals++;
+      results.serverRefusals++;
       admission.onFull(now);
-      if (++asked.item().refusals()[0] < MAX_REFUSALS) {
-        after(PAUSE_MILLIS, () -> send(asked));
+      if (++submitted.item().refusals()[0] < MAX_REFUSALS) {
+        schedule(PAUSE_MILLIS, () -> send(submitted));
         return;
       }
       admission.onEnded(request);
-      asked
+      submitted
           .onRefused()
           .accept(isLimited ? admission.retryAfterMillis(request, now) : FIXED_RETRY_MILLIS);
       pump();
@@ -297,9 +302,9 @@
 
     private void run(long workMillis, Consumer<Boolean> onEnd) {
       running++;
-      long took = (long) (workMillis * slowness * (0.8 + 0.4 * random.nextDouble()));
-      after(
-          took,
+      long tookMillis = (long) (workMillis * slowness * (0.8 + 0.4 * random.nextDouble()));
+      schedule(
+          tookMillis,
           () -> {
             running--;
             onEnd.accept(true);
