--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -10,36 +10,38 @@
 import org.passhaven.protocol.crash.CrashNote;
 
 /**
- * Requests under which servers have ended, by fingerprint. One end says little: others ran there
- * too, and servers end by themselves. After two, with no run in between that ended well, the
- * request is held back and runs only in trials, one at a time in the whole fleet, with pauses that
- * grow threefold. A run that ends well clears it. Times in monotonic milliseconds. Not thread-safe.
+ * Tracks the requests during which servers crashed, by fingerprint. One crash says little, since
+ * other requests ran there too and servers also exit by themselves. After two crashes without a
+ * successful run in between, the request is quarantined and runs only in trials, one at a time in
+ * the whole fleet, with pauses that grow threefold. A successful run clears it. Times are in
+ * monotonic milliseconds. Not thread-safe.
  */
 public final class CrashTable {
-  /** Fewest ends of servers under a request that is held back. */
-  static final int HELD_AFTER = 2;
+  /** Number of server crashes from which a request is quarantined. */
+  static final int QUARANTINE_CRASHES = 2;
 
   /**
-   * Pause before the first trial. Servers that crashed are back after some 3 s: a trial before that
-   * may take the last one down. In virtual time, three servers that take 3.1 s, a pause of 2 s left
-   * 97.9 % of the other lookups served, one of 4 s 99.98 %.
+   * Pause before the first trial. Crashed servers restart within about 3 s; an earlier trial could
+   * crash the last running server.
    */
   static final long FIRST_PAUSE_MILLIS = 4_000;
 
-  /** With it the first two trials after a third crash are 36 s and six minutes later. */
   static final long PAUSE_FACTOR = 3;
 
-  /** A request that crashes servers costs one of them in ten minutes at most. */
-  static final long MOST_PAUSE_MILLIS = 600_000;
+  /** Limits a request that crashes servers to one of them in ten minutes. */
+  static final long MAX_PAUSE_MILLIS = 600_000;
 
-  /** Time after the last news of a request after which it is forgotten. */
-  static final long FORGET_MILLIS = 1_200_000;
+  /** Time since the last change of an entry after which it is removed. */
+  static final long EXPIRY_MILLIS = 1_200_000;
 
-  /** About 200 bytes each. At 64 requests a server it takes sixteen ends of servers to fill it. */
+  /** Bounds the memory of the table; an entry takes about 200 bytes. */
   public static final int MOST_SUSPECTS = 1_000;
 
-  /** Finding whom to forget takes a look at all: it is done for many at a time. */
-  private static final int OVERFULL_BY = 64;
+  /**
+   * Excess over {@link #MOST_SUSPECTS} at which entries are evicted, many at a time, since choosing
+   * them scans the whole table.
+   */
+  private static final int EVICTION_BATCH = 64;
 
   private final Map<String, Suspect> suspects = new HashMap<>();
 
@@ -56,48 +58,53 @@
     }
   }
 
-  /** What may be done with a request now. */
+  /** Decision on whether a request may run now. */
   public sealed interface Verdict {
-    /** Nothing is known of it. */
+    /** The request is not suspected. */
     record Clear() implements Verdict {}
 
-    /** A server has ended under it; it may run, but at one server at a time. */
+    /** A server has crashed during the request; it may run, but at only one server at a time. */
     record Alone() implements Verdict {}
 
-    /** It must not run before this time. */
+    /** The request must not run before the given time. */
     record Held(long untilMillis) implements Verdict {}
 
-    /** It may run if this node is the first to claim the trial of this number. */
+    /** The request may run if this node is the first to claim the trial with this number. */
     record TrialDue(int number) implements Verdict {}
   }
 
-  /** Whether nothing is known of any request. */
+  /** Returns whether no request is suspected. */
   public boolean isEmpty() {
     return suspects.isEmpty();
   }
 
-  /** Number of requests of which something is known. */
+  /** Returns the number of suspected requests. */
   public int size() {
     return suspects.size();
   }
 
-  /** Whether there are so many that some are to be forgotten now; {@link #due} tells which. */
+  /**
+   * Returns whether there are so many entries that some are to be evicted now; {@link #due} returns
+   * which.
+   */
   public boolean isOverfull() {
-    return suspects.size() >= MOST_SUSPECTS + OVERFULL_BY;
+    return suspects.size() >= MOST_SUSPECTS + EVICTION_BATCH;
   }
 
-  /** Whether something is known of a request. */
+  /** Returns whether a request is suspected. */
   public boolean contains(String fingerprint) {
     return suspects.containsKey(fingerprint);
   }
 
-  /** Servers that have ended under a request since it last ended well. */
+  /**
+   * Returns the number of servers that have crashed during a request since its last successful run.
+   */
   public int crashes(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     return suspect == null ? 0 : suspect.servers.size();
   }
 
-  /** Takes a note that this node makes or reads; the same one twice changes nothing. */
+  /** Applies a note that this node writes or reads. Applying a note twice has no effect. */
   public void onNote(CrashNote note, long nowMillis) {
     Suspect suspect = suspects.computeIfAbsent(note.fingerprint(), key -> new Suspect());
     if (note instanceof CrashNote.Ended ended) {
@@ -113,13 +120,13 @@
     }
   }
 
-  /** Whether a request may run. */
+  /** Decides whether a request may run. */
   public Verdict verdict(String fingerprint, long nowMillis) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect == null) {
       return new Verdict.Clear();
     }
-    if (suspect.servers.size() < HELD_AFTER) {
+    if (suspect.servers.size() < QUARANTINE_CRASHES) {
       return new Verdict.Alone();
     }
     long until = suspect.changedMillis + pauseMillis(suspect.rank());
@@ -128,13 +135,16 @@
 
   private static long pauseMillis(int rank) {
     long pause = FIRST_PAUSE_MILLIS;
-    for (int i = HELD_AFTER; i < rank && pause < MOST_PAUSE_MILLIS; i++) {
+    for (int i = QUARANTINE_CRASHES; i < rank && pause < MAX_PAUSE_MILLIS; i++) {
       pause *= PAUSE_FACTOR;
     }
-    return Math.min(pause, MOST_PAUSE_MILLIS);
+    return Math.min(pause, MAX_PAUSE_MILLIS);
   }
 
-  /** Takes the newest trial, if it is of this start of a node and not taken yet. */
+  /**
+   * Takes the newest trial of a request and returns true if it was claimed by this incarnation of
+   * the node and not taken yet.
+   */
   public boolean takeTrial(String fingerprint, String node, long incarnation) {
     Suspect suspect = suspects.get(fingerprint);
     boolean isOwn =
@@ -148,7 +158,7 @@
     return isOwn;
   }
 
-  /** The trial that was taken came to nothing: no server ran the request. */
+  /** Makes a taken trial available again because no server ran the request. */
   public void giveTrialBack(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect != null) {
@@ -156,17 +166,17 @@
     }
   }
 
-  /** Forgets a request: a run of it has ended well, or it is told to be forgotten. */
+  /** Removes a request after a successful run or on an operator's command. */
   public void remove(String fingerprint) {
     suspects.remove(fingerprint);
   }
 
-  /** Keeps only these requests: all notes were listed anew. */
+  /** Removes all requests except these, after all notes have been listed again. */
   public void retain(Set<String> fingerprints) {
     suspects.keySet().retainAll(fingerprints);
   }
 
-  /** Keys under which the notes on a request stand. */
+  /** Returns the keys under which the notes on a request are stored. */
   public List<String> keysOf(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     List<String> keys = new ArrayList<>();
@@ -180,14 +190,14 @@
   }
 
   /**
-   * Requests that are to be forgotten now: those of which nothing was heard for long, and of too
-   * many those under which fewest servers have ended, the oldest first.
+   * Returns the requests to remove now: those without a change for a long time and, if there are
+   * too many, those with the fewest server crashes, the oldest first.
    */
   public List<String> due(long nowMillis) {
     List<String> due = new ArrayList<>();
     suspects.forEach(
         (fingerprint, suspect) -> {
-          if (nowMillis - suspect.changedMillis >= FORGET_MILLIS) {
+          if (nowMillis - suspect.changedMillis >= EXPIRY_MILLIS) {
             due.add(fingerprint);
           }
         });
--- a/core/src/main/java/org/passhaven/core/crash/package-info.java
+++ b/core/src/main/java/org/passhaven/core/crash/package-info.java
@@ -1,2 +1,5 @@
-/** Requests under which servers have ended: who is suspected, and when it may run again. */
+/**
+ * Detection of requests that crash servers: which requests are suspected, and when they may run
+ * again.
+ */
 package org.passhaven.core.crash;
--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -7,29 +7,29 @@
 import org.passhaven.protocol.duty.DutyRecord;
 
 /**
- * Decides whether this node may do the duties of one holder now (orders to servers, usage reports,
- * scaling): one lease for all of them, whose epoch is the fence of every call. The fold of one
- * stream decides who holds the lease: the first claim to follow a holder wins. A holder orders only
- * for a short time from the moment at which it sent an intent that it then read back. So whoever
- * reads the stream knows when a predecessor can have ordered last, and waits the hand-over time
- * longer.
+ * Leader lease that decides whether this node may perform the singleton duties now (orders to
+ * servers, usage reports, scaling). One lease covers all of them; its epoch is the fencing token of
+ * every call. The state is built from the records of one stream: the first claim that follows a
+ * holder wins. A holder may order only for a short time, counted from when it sent an intent that
+ * it then read back from the stream. Every reader therefore knows the latest time at which a
+ * predecessor can have ordered, and waits for the handover time in addition.
  *
- * <p>The stream drops records by age. So a holder writes again well within that age, and whoever
- * reads a record of a holder that it did not know takes it for the holder. The epoch of a claim is
- * the offset to which its writer had read, and one: no epoch is higher than the offset of its
- * claim, so a later one is above all that can ever have been used, whatever its writer has missed.
- * Apart from renewals, nothing is written while no order is due. Times in monotonic milliseconds.
- * Not thread-safe.
+ * <p>The stream drops records by age. A holder therefore writes again well within that age, and a
+ * reader that finds a record of an unknown holder takes its writer for the holder. The epoch of a
+ * claim is one more than the offset up to which its writer had read. No epoch is higher than the
+ * offset of its claim, so the epoch of a later claim exceeds all epochs ever used, even if its
+ * writer has missed records. Except for renewals, nothing is written while no order is due. Times
+ * are in monotonic milliseconds. Not thread-safe.
  */
 public final class DutyLease {
   /**
-   * Pace of the lease.
+   * Timing of the lease.
    *
-   * @param validMillis time for which an intent allows orders, from when it was sent
-   * @param handOverMillis time that must pass between orders of two nodes, that on the way included
-   * @param releasedMillis the same if the former holder told that it orders no more
-   * @param claimAfterMillis silence of a live holder after which another may claim
-   * @param rankMillis time that each next candidate waits longer
+   * @param validMillis time for which an intent allows orders, counted from when it was sent
+   * @param handOverMillis minimum time between orders of two nodes, including network delay
+   * @param releasedMillis the same after the former holder has released the lease
+   * @param claimAfterMillis silence of a live holder after which another node may claim
+   * @param rankMillis additional wait for each rank among the candidates
    * @param renewMillis time without a record of the holder after which it writes again
    */
   public record Settings(
@@ -40,52 +40,56 @@
       long rankMillis,
       long renewMillis) {}
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
-  private static final long READ_BACK_MILLIS = 1_000;
+  private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
+  private static final long CLAIM_RETRY_MILLIS = 1_000;
   private final String node;
   private final long incarnation;
   private final Settings settings;
-  private final Map<Long, Long> sentAtByNumber = new HashMap<>();
+  private final Map<Long, Long> sentMillisByNumber = new HashMap<>();
 
-  /** Time from which another node may order as far as this one is concerned, by node. */
-  private final Map<String, Long> mayFollowFromMillis = new HashMap<>();
+  /** Earliest time at which another node may order after the last activity of a node, by node. */
+  private final Map<String, Long> earliestTakeoverMillis = new HashMap<>();
 
-  /** Offset of the next record of the stream. */
-  private long readTo;
+  /** Offset of the next record to read from the stream. */
+  private long nextOffset;
 
   private long epoch;
   private String holder = "";
 
-  /** Whether no record by which the lease changed hands can have been missed. */
-  private boolean isSure = true;
+  /**
+   * Whether the holder is known for certain, that is, no change of the holder can have been missed.
+   */
+  private boolean isHolderCertain = true;
 
-  /** Newest record of the holder; where the holder is not sure, of anybody. */
+  /**
+   * Offset of the holder's newest record; of anybody's newest record while the holder is uncertain.
+   */
   private long newestOffset = -1;
 
-  /** Epoch of this start's newest claim; zero if there is none that can still count. */
+  /** Epoch of this incarnation's newest claim; zero if there is none that can still win. */
   private long claimedEpoch;
 
   private long holderIncarnation;
-  private long lastRecordAt = NEVER;
-  private long neededSince = NEVER;
-  private long notBefore = NEVER;
-  private long validUntil = NEVER;
-  private long claimSentAt = NEVER;
-  private long intentSentAt = NEVER;
+  private long lastRecordMillis = NEVER_MILLIS;
+  private long neededSinceMillis = NEVER_MILLIS;
+  private long notBeforeMillis = NEVER_MILLIS;
+  private long validUntilMillis = NEVER_MILLIS;
+  private long claimSentMillis = NEVER_MILLIS;
+  private long intentSentMillis = NEVER_MILLIS;
   private long nextNumber = 1;
 
-  /** Creates the lease of one start of a node. */
+  /** Creates the lease state of one incarnation of a node. */
   public DutyLease(String node, long incarnation, Settings settings) {
     this.node = Objects.requireNonNull(node, "node");
     this.incarnation = incarnation;
     this.settings = Objects.requireNonNull(settings, "settings");
   }
 
-  /** Folds the next record of the stream, which was read at {@code nowMillis}. */
+  /** Applies the next record of the stream, read at {@code nowMillis}. */
   public void onRecord(DutyRecord record, long nowMillis) {
-    readTo++;
+    nextOffset++;
     if (!(record instanceof DutyRecord.Claimed)) {
-      noteHolder(record, nowMillis);
+      learnHolder(record, nowMillis);
     }
     if (record instanceof DutyRecord.Claimed claim) {
       onClaim(claim, nowMillis);
@@ -96,58 +100,58 @@
     }
   }
 
-  /** The next record of the stream can't be read. */
+  /** Skips the next record of the stream because it can't be decoded. */
   public void onUnreadable() {
-    readTo++;
+    nextOffset++;
   }
 
   /**
-   * Records that were not read are gone: who holds the lease now is unknown, and this node, if it
-   * was the holder, may have been succeeded under epochs that nobody can tell.
+   * Handles the loss of unread records. The current holder is unknown then, and if this node was
+   * the holder, others may have succeeded it under unknown epochs.
    */
-  public void onGap(long nextOffset) {
-    readTo = nextOffset;
-    become("", 0, 0);
+  public void onGap(long resumeOffset) {
+    nextOffset = resumeOffset;
+    setHolder("", 0, 0);
     newestOffset = -1;
-    isSure = false;
+    isHolderCertain = false;
     claimedEpoch = 0;
   }
 
   /**
-   * The clocks have moved apart: intents that were sent before may have lapsed long ago, and so may
-   * the lease. A new one, read back, tells.
+   * Handles a clock jump: the lease and the intents that were sent before may have expired. Only a
+   * new intent that is read back allows orders again.
    */
   public void onClockGap() {
-    validUntil = NEVER;
-    intentSentAt = NEVER;
-    sentAtByNumber.clear();
+    validUntilMillis = NEVER_MILLIS;
+    intentSentMillis = NEVER_MILLIS;
+    sentMillisByNumber.clear();
   }
 
-  private void become(String newHolder, long newIncarnation, long newEpoch) {
+  private void setHolder(String newHolder, long newIncarnation, long newEpoch) {
     epoch = newEpoch;
     holder = newHolder;
     holderIncarnation = newIncarnation;
-    validUntil = NEVER;
-    sentAtByNumber.clear();
+    validUntilMillis = NEVER_MILLIS;
+    sentMillisByNumber.clear();
   }
 
-  /** Only a holder writes such records: whoever did not know it has missed its claim. */
-  private void noteHolder(DutyRecord record, long nowMillis) {
-    boolean isNews = record.epoch() > epoch || (record.epoch() == epoch && !isSure);
-    if (isNews) {
+  /** Learns the holder from a record that only a holder writes, in case its claim was missed. */
+  private void learnHolder(DutyRecord record, long nowMillis) {
+    boolean isNewHolder = record.epoch() > epoch || (record.epoch() == epoch && !isHolderCertain);
+    if (isNewHolder) {
       if (!isOfHolder(record)) {
-        become(record.node(), record.incarnation(), record.epoch());
-        noteActive(record.node(), nowMillis);
+        setHolder(record.node(), record.incarnation(), record.epoch());
+        recordActivity(record.node(), nowMillis);
       }
-      isSure = true;
-    } else if (!isSure) {
-      // The claim that is known may have lost; the epoch stays, since it may also have won.
+      isHolderCertain = true;
+    } else if (!isHolderCertain) {
+      // The known claim may have lost. The epoch stays, since the claim may also have won.
       holder = record.node();
       holderIncarnation = record.incarnation();
-      noteActive(record.node(), nowMillis);
+      recordActivity(record.node(), nowMillis);
     }
-    if (!isSure || isOfHolder(record)) {
-      newestOffset = readTo - 1;
+    if (!isHolderCertain || isOfHolder(record)) {
+      newestOffset = nextOffset - 1;
     }
   }
 
@@ -155,14 +159,14 @@
     // The writer has read the holder's newest record, or the log no longer has it.
     boolean isValid = claim.epoch() > epoch && newestOffset < claim.readTo();
     if (isValid) {
-      become(claim.node(), claim.incarnation(), claim.epoch());
-      noteActive(claim.node(), nowMillis);
+      setHolder(claim.node(), claim.incarnation(), claim.epoch());
+      recordActivity(claim.node(), nowMillis);
       if (isHolder()) {
-        notBefore = othersMayBeFollowedFrom();
+        notBeforeMillis = latestTakeoverMillis();
       }
     }
-    if (!isSure || isValid) {
-      newestOffset = readTo - 1;
+    if (!isHolderCertain || isValid) {
+      newestOffset = nextOffset - 1;
     }
   }
 
@@ -170,18 +174,18 @@
     if (!isOfHolder(intent)) {
       return;
     }
-    noteActive(intent.node(), nowMillis);
-    noteOthersQuiet(intent.node(), nowMillis - intent.othersQuietMillis());
-    Long sentAt = isHolder() ? sentAtByNumber.remove(intent.number()) : null;
+    recordActivity(intent.node(), nowMillis);
+    applySilenceOfOthers(intent.node(), nowMillis - intent.othersQuietMillis());
+    Long sentAt = isHolder() ? sentMillisByNumber.remove(intent.number()) : null;
     if (sentAt != null) {
-      validUntil = Math.max(validUntil, sentAt + settings.validMillis());
+      validUntilMillis = Math.max(validUntilMillis, sentAt + settings.validMillis());
     }
   }
 
   private void onRelease(DutyRecord.Released release, long nowMillis) {
     if (isOfHolder(release)) {
-      validUntil = NEVER;
-      mayFollowFromMillis.put(release.node(), nowMillis + settings.releasedMillis());
+      validUntilMillis = NEVER_MILLIS;
+      earliestTakeoverMillis.put(release.node(), nowMillis + settings.releasedMillis());
     }
   }
 
@@ -191,128 +195,131 @@
         && record.incarnation() == holderIncarnation;
   }
 
-  private void noteActive(String writer, long atMillis) {
-    lastRecordAt = atMillis;
-    mayFollowFromMillis.put(writer, mayFollowFrom(atMillis));
+  private void recordActivity(String writer, long atMillis) {
+    lastRecordMillis = atMillis;
+    earliestTakeoverMillis.put(writer, takeoverMillisAfter(atMillis));
   }
 
   /**
-   * The writer knew when another node can have ordered last. Whoever has just started reads all
-   * records at once, and takes the writer's word for how old those of the others are.
+   * Applies the writer's knowledge of how long the other nodes have been silent. A node that has
+   * just started reads all records at once, so it can't tell their age from the time of reading.
    */
-  private void noteOthersQuiet(String writer, long quietSinceMillis) {
-    long from = mayFollowFrom(quietSinceMillis);
-    mayFollowFromMillis.replaceAll(
+  private void applySilenceOfOthers(String writer, long quietSinceMillis) {
+    long from = takeoverMillisAfter(quietSinceMillis);
+    earliestTakeoverMillis.replaceAll(
         (other, known) -> other.equals(writer) ? known : Math.min(known, from));
   }
 
-  private long mayFollowFrom(long activeAtMillis) {
+  private long takeoverMillisAfter(long activeAtMillis) {
     return activeAtMillis + settings.validMillis() + settings.handOverMillis();
   }
 
-  /** Time from which this node may order without being close to an order of any other. */
-  private long othersMayBeFollowedFrom() {
-    return mayFollowFromMillis.entrySet().stream()
+  /**
+   * Returns the earliest time at which this node may order, given the last activity of all others.
+   */
+  private long latestTakeoverMillis() {
+    return earliestTakeoverMillis.entrySet().stream()
         .filter(entry -> !entry.getKey().equals(node))
         .mapToLong(Map.Entry::getValue)
         .max()
-        .orElse(NEVER);
+        .orElse(NEVER_MILLIS);
   }
 
-  private long othersQuietMillis(long nowMillis) {
-    return nowMillis
-        - othersMayBeFollowedFrom()
-        + settings.validMillis()
-        + settings.handOverMillis();
+  private long silenceOfOthersMillis(long nowMillis) {
+    return nowMillis - latestTakeoverMillis() + settings.validMillis() + settings.handOverMillis();
   }
 
-  /** Whether this start of this node holds the lease, by all that was read. */
+  /**
+   * Returns whether this incarnation of this node holds the lease according to the records read.
+   */
   public boolean isHolder() {
     return holder.equals(node) && holderIncarnation == incarnation && epoch == claimedEpoch;
   }
 
-  /** Node that holds the lease; empty if nobody ever did. */
+  /** Returns the node that holds the lease; empty if there never was a holder. */
   public String holder() {
     return holder;
   }
 
-  /** Start of the node that holds the lease. */
+  /** Returns the incarnation of the node that holds the lease. */
   public long holderIncarnation() {
     return holderIncarnation;
   }
 
-  /** The record by which this node, as the holder, gives the lease up; empty if it is not held. */
+  /** Returns the record that releases the lease; empty if this node does not hold it. */
   public Optional<DutyRecord> release() {
     return isHolder()
         ? Optional.of(new DutyRecord.Released(epoch, node, incarnation))
         : Optional.empty();
   }
 
-  /** Whether the holder has written lately, so that it is alive whatever else is known of it. */
+  /** Returns whether the holder has written recently, which shows that it is alive. */
   public boolean isFresh(long nowMillis) {
-    return nowMillis - lastRecordAt < settings.claimAfterMillis();
+    return nowMillis - lastRecordMillis < settings.claimAfterMillis();
   }
 
-  /** Fencing token of the holder's orders. */
+  /** Returns the fencing token of the holder's orders. */
   public long epoch() {
     return epoch;
   }
 
-  /** Whether an order may be sent at this very moment. */
+  /** Returns whether this node may send an order at this moment. */
   public boolean mayAct(long nowMillis) {
-    return isHolder() && nowMillis >= notBefore && nowMillis < validUntil;
+    return isHolder() && nowMillis >= notBeforeMillis && nowMillis < validUntilMillis;
   }
 
   /**
-   * The record to append now, if any.
+   * Returns the record to append now, if any.
    *
-   * @param needed whether some order is due
-   * @param holderAlive whether the holder is a live node that takes work
-   * @param rank place of this node among the candidates, from zero
+   * @param needed whether an order is due
+   * @param holderAlive whether the holder is a live node that accepts work
+   * @param rank rank of this node among the candidates, from zero
    */
   public Optional<DutyRecord> next(boolean needed, boolean holderAlive, int rank, long nowMillis) {
     if (!needed) {
-      neededSince = NEVER;
+      neededSinceMillis = NEVER_MILLIS;
       return isRenewalDue(nowMillis) ? nextIntent(nowMillis) : Optional.empty();
     }
-    if (neededSince == NEVER) {
-      neededSince = nowMillis;
+    if (neededSinceMillis == NEVER_MILLIS) {
+      neededSinceMillis = nowMillis;
     }
     return isHolder() ? nextIntent(nowMillis) : nextClaim(holderAlive, rank, nowMillis);
   }
 
-  /** The log is about to drop the last record that tells of this holder. */
+  /** Returns whether the holder must write before the log drops its last record. */
   private boolean isRenewalDue(long nowMillis) {
-    return isHolder() && nowMillis - lastRecordAt >= settings.renewMillis();
+    return isHolder() && nowMillis - lastRecordMillis >= settings.renewMillis();
   }
 
   private Optional<DutyRecord> nextIntent(long nowMillis) {
-    boolean fresh = validUntil - nowMillis > settings.validMillis() / 2;
-    boolean justSent = nowMillis - intentSentAt < settings.validMillis() / 4;
-    if (fresh || justSent) {
+    boolean isValidForLong = validUntilMillis - nowMillis > settings.validMillis() / 2;
+    boolean isRecentlySent = nowMillis - intentSentMillis < settings.validMillis() / 4;
+    if (isValidForLong || isRecentlySent) {
       return Optional.empty();
     }
-    intentSentAt = nowMillis;
+    intentSentMillis = nowMillis;
     long number = nextNumber++;
-    sentAtByNumber.put(number, nowMillis);
+    sentMillisByNumber.put(number, nowMillis);
     return Optional.of(
-        new DutyRecord.Intended(epoch, node, incarnation, number, othersQuietMillis(nowMillis)));
+        new DutyRecord.Intended(
+            epoch, node, incarnation, number, silenceOfOthersMillis(nowMillis)));
   }
 
   private Optional<DutyRecord> nextClaim(boolean holderAlive, int rank, long nowMillis) {
-    if (nowMillis - claimSentAt < READ_BACK_MILLIS) {
+    if (nowMillis - claimSentMillis < CLAIM_RETRY_MILLIS) {
       return Optional.empty();
     }
-    long patience = rank * settings.rankMillis();
+    long waitMillis = rank * settings.rankMillis();
     if (holderAlive) {
-      patience += settings.claimAfterMillis();
+      waitMillis += settings.claimAfterMillis();
     }
-    long silentSince = holderAlive ? Math.max(neededSince, lastRecordAt) : neededSince;
-    if (nowMillis - silentSince < patience) {
+    long silentSinceMillis =
+        holderAlive ? Math.max(neededSinceMillis, lastRecordMillis) : neededSinceMillis;
+    if (nowMillis - silentSinceMillis < waitMillis) {
       return Optional.empty();
     }
-    claimSentAt = nowMillis;
-    claimedEpoch = readTo + 1;
-    return Optional.of(new DutyRecord.Claimed(claimedEpoch, node, incarnation, readTo));
+    claimSentMillis = nowMillis;
+    claimedEpoch = nextOffset + 1;
+    return Optional.of(new DutyRecord.Claimed(claimedEpoch, node, incarnation, nextOffset));
   }
 }
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -17,11 +17,12 @@
 import org.passhaven.protocol.duty.DutyRecord.Intended;
 
 class DutyLeaseTest {
-  private static final long VALID = 1_000;
-  private static final long HAND_OVER = 3_000;
-  private static final long RENEW = 5_000;
+  private static final long VALID_MILLIS = 1_000;
+  private static final long HANDOVER_MILLIS = 3_000;
+  private static final long RENEW_MILLIS = 5_000;
   private static final DutyLease.Settings SETTINGS =
-      new DutyLease.Settings(VALID, HAND_OVER, HAND_OVER, 2_000, 400, RENEW);
+      new DutyLease.Settings(
+          VALID_MILLIS, HANDOVER_MILLIS, HANDOVER_MILLIS, 2_000, 400, RENEW_MILLIS);
 
   private static DutyLease lease(String node) {
     return new DutyLease(node, 7, SETTINGS);
@@ -32,7 +33,7 @@
   }
 
   @Test
-  void theFirstHolderOrdersOnceItsIntentWasReadBack() {
+  void theHolderMayOrderOnceItsIntentIsReadBack() {
     DutyLease a = lease("a");
     DutyRecord claim = a.next(true, false, 0, 0).orElseThrow();
     assertThat(claim, instanceOf(Claimed.class));
@@ -41,17 +42,17 @@
     assertThat(a.mayAct(25), is(false));
     a.onRecord(intent, 30);
     assertThat(a.mayAct(30), is(true));
-    // Counted from when it was sent, not from when it was read.
-    assertThat(a.mayAct(20 + VALID - 1), is(true));
-    assertThat(a.mayAct(20 + VALID), is(false));
+    // Counted from when the intent was sent, not from when it was read.
+    assertThat(a.mayAct(20 + VALID_MILLIS - 1), is(true));
+    assertThat(a.mayAct(20 + VALID_MILLIS), is(false));
   }
 
   @Test
-  void aGapOfTheClocksEndsWhatAnIntentAllowsUntilANewOneIsReadBack() {
+  void aClockJumpInvalidatesIntentsUntilANewOneIsReadBack() {
     DutyLease a = lease("a");
     a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 10);
     a.onRecord(next(a, 20).orElseThrow(), 30);
-    DutyRecord underWay = next(a, 20 + VALID / 2 + 1).orElseThrow();
+    DutyRecord underWay = next(a, 20 + VALID_MILLIS / 2 + 1).orElseThrow();
     assertThat(a.mayAct(600), is(true));
     a.onClockGap();
     assertThat(a.mayAct(600), is(false));
@@ -62,23 +63,23 @@
   }
 
   @Test
-  void aSuccessorWaitsUntilItsPredecessorCanHaveOrderedLastAndTheHandOverTimeLonger() {
+  void aSuccessorWaitsForTheValidityOfTheLastIntentPlusTheHandoverTime() {
     DutyLease b = lease("b");
     b.onRecord(new Claimed(1, "a", 1, 0), 100);
     b.onRecord(new Intended(1, "a", 1, 1, 0), 200);
     DutyRecord claim = b.next(true, false, 0, 300).orElseThrow();
     b.onRecord(claim, 310);
-    long from = 200 + VALID + HAND_OVER;
+    long from = 200 + VALID_MILLIS + HANDOVER_MILLIS;
     DutyRecord intent = next(b, from - 50).orElseThrow();
     b.onRecord(intent, from - 40);
     assertThat(b.mayAct(from - 1), is(false));
     assertThat(b.mayAct(from), is(true));
-    // It had read two records when it claimed.
+    // The node had read two records when it claimed.
     assertThat(b.epoch(), equalTo(3L));
   }
 
   @Test
-  void anIntentThatWasOvertakenByAClaimAllowsNothing() {
+  void anIntentThatLandsAfterAnotherNodesClaimAllowsNoOrders() {
     DutyLease a = lease("a");
     a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
     DutyRecord intent = next(a, 2).orElseThrow();
@@ -89,7 +90,7 @@
   }
 
   @Test
-  void ofTwoClaimsOfOneEpochTheFirstWins() {
+  void theFirstOfTwoClaimsOfOneEpochWins() {
     DutyLease a = lease("a");
     DutyRecord own = a.next(true, false, 0, 0).orElseThrow();
     a.onRecord(new Claimed(1, "b", 3, 0), 1);
@@ -98,14 +99,14 @@
   }
 
   @Test
-  void aClaimOfAnEarlierStartOfThisNodeIsNotItsOwn() {
+  void aClaimOfAnEarlierIncarnationIsNotItsOwn() {
     DutyLease a = lease("a");
     a.onRecord(new Claimed(1, "a", 6, 0), 1);
     assertThat(a.isHolder(), is(false));
   }
 
   @Test
-  void aBusyHolderIsNotChallenged() {
+  void noNodeClaimsWhileTheHolderIsActive() {
     DutyLease b = lease("b");
     b.onRecord(new Claimed(1, "a", 1, 0), 0);
     for (long now = 0; now < 10_000; now += 500) {
@@ -116,50 +117,50 @@
   }
 
   @Test
-  void aReleaseLetsTheSuccessorOrderSooner() {
+  void aReleaseLetsTheSuccessorOrderEarlier() {
     DutyLease b = lease("b");
     b.onRecord(new Claimed(1, "a", 1, 0), 100);
     b.onRecord(new Intended(1, "a", 1, 1, 0), 200);
     b.onRecord(new DutyRecord.Released(1, "a", 1), 300);
     b.onRecord(b.next(true, false, 0, 310).orElseThrow(), 320);
-    long from = 300 + HAND_OVER;
+    long from = 300 + HANDOVER_MILLIS;
     b.onRecord(next(b, from - 50).orElseThrow(), from - 40);
     assertThat(b.mayAct(from - 1), is(false));
     assertThat(b.mayAct(from), is(true));
   }
 
   @Test
-  void aReleaseByAHolderThatWaitedItselfDoesNotShortenTheWaitForTheOneBefore() {
+  void aReleaseDoesNotShortenTheWaitForAnEarlierHolder() {
     DutyLease c = lease("c");
     c.onRecord(new Claimed(1, "a", 1, 0), 0);
     c.onRecord(new Intended(1, "a", 1, 1, 0), 1_000);
     c.onRecord(new Claimed(2, "b", 1, 2), 1_100);
     c.onRecord(new DutyRecord.Released(2, "b", 1), 1_200);
     c.onRecord(c.next(true, false, 0, 1_210).orElseThrow(), 1_220);
-    long from = 1_000 + VALID + HAND_OVER;
+    long from = 1_000 + VALID_MILLIS + HANDOVER_MILLIS;
     c.onRecord(next(c, from - 50).orElseThrow(), from - 40);
     assertThat(c.mayAct(from - 1), is(false));
     assertThat(c.mayAct(from), is(true));
   }
 
   @Test
-  void aHolderThatStartsAnewNeedNotWaitForWhatWasLongBeforeIt() {
+  void aRestartedHolderDoesNotWaitForHoldersOfLongAgo() {
     DutyLease again = new DutyLease("a", 8, SETTINGS);
     again.onRecord(new Claimed(1, "b", 1, 0), 50_000);
     again.onRecord(new Intended(1, "b", 1, 1, 0), 50_000);
     again.onRecord(new Claimed(2, "a", 7, 2), 50_000);
-    again.onRecord(new Intended(2, "a", 7, 1, VALID + HAND_OVER + 10), 50_000);
+    again.onRecord(new Intended(2, "a", 7, 1, VALID_MILLIS + HANDOVER_MILLIS + 10), 50_000);
     again.onRecord(again.next(true, false, 0, 50_010).orElseThrow(), 50_020);
     again.onRecord(next(again, 50_030).orElseThrow(), 50_040);
     assertThat(again.mayAct(50_040), is(true));
     DutyLease other = new DutyLease("c", 8, SETTINGS);
     other.onRecord(new Claimed(2, "a", 7, 0), 50_000);
-    other.onRecord(new Intended(2, "a", 7, 1, VALID + HAND_OVER + 10), 50_000);
+    other.onRecord(new Intended(2, "a", 7, 1, VALID_MILLIS + HANDOVER_MILLIS + 10), 50_000);
     assertThat(other.mayAct(50_040), is(false));
   }
 
   @Test
-  void aHolderThatGaveTheLeaseUpOrdersNoMore() {
+  void aHolderThatReleasedTheLeaseMayNotOrder() {
     DutyLease a = lease("a");
     a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
     a.onRecord(next(a, 2).orElseThrow(), 3);
@@ -169,24 +170,24 @@
   }
 
   @Test
-  void nothingIsWrittenWhileNoOrderIsDue() {
+  void noRecordIsWrittenWhileNoOrderIsDue() {
     DutyLease a = lease("a");
     assertThat(a.next(false, false, 0, 0).isPresent(), is(false));
   }
 
   @Test
-  void aHolderWritesAgainBeforeTheLogForgetsIt() {
+  void aHolderRenewsBeforeTheLogDropsItsRecords() {
     DutyLease a = lease("a");
     a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
-    assertThat(a.next(false, true, 0, RENEW).isPresent(), is(false));
-    DutyRecord again = a.next(false, true, 0, RENEW + 1).orElseThrow();
+    assertThat(a.next(false, true, 0, RENEW_MILLIS).isPresent(), is(false));
+    DutyRecord again = a.next(false, true, 0, RENEW_MILLIS + 1).orElseThrow();
     assertThat(again.epoch(), equalTo(1L));
-    a.onRecord(again, RENEW + 10);
-    assertThat(a.next(false, true, 0, RENEW + 20).isPresent(), is(false));
+    a.onRecord(again, RENEW_MILLIS + 10);
+    assertThat(a.next(false, true, 0, RENEW_MILLIS + 20).isPresent(), is(false));
   }
 
   @Test
-  void whoFindsNoHolderInWhatIsKeptClaimsAboveAllThatCanHaveBeenUsed() {
+  void aClaimAfterDroppedRecordsUsesAnEpochAboveAllFormerOnes() {
     DutyLease c = lease("c");
     c.onGap(500);
     Claimed claim = (Claimed) c.next(true, false, 0, 0).orElseThrow();
@@ -196,7 +197,7 @@
   }
 
   @Test
-  void whoMissedTheClaimTakesTheHolderFromItsRecords() {
+  void aReaderThatMissedTheClaimLearnsTheHolderFromItsRecords() {
     DutyLease c = lease("c");
     c.onGap(500);
     c.onRecord(new Intended(5, "a", 1, 9, 0), 0);
@@ -206,31 +207,32 @@
   }
 
   @Test
-  void aClaimByWhoMissedALiveHoldersRecordComesToNothing() {
+  void aClaimByANodeThatMissedALiveHoldersRecordIsInvalid() {
     DutyLease b = lease("b");
     b.onRecord(new Claimed(1, "a", 1, 0), 0);
     b.onRecord(new Intended(1, "a", 1, 1, 0), 0);
-    // Its writer had read the stream up to the intent, but not the intent.
+    // The writer had read the stream up to the intent, but not the intent itself.
     b.onRecord(new Claimed(2_000, "c", 1, 1), 1);
     assertThat(b.holder(), equalTo("a"));
-    // This one had read further, and the log had dropped all that told of the holder.
+    // This writer had read further, and the log had dropped all records of the holder.
     b.onRecord(new Claimed(2_000, "c", 1, 2), 2);
     assertThat(b.holder(), equalTo("c"));
   }
 
   @Test
-  void anIntentOfAHolderThatWasLongSucceededLeadsToNoEpochTwice() {
+  void aLateIntentOfAFormerHolderDoesNotCauseAReusedEpoch() {
     DutyLease c = lease("c");
     c.onGap(500);
-    // Sent by a node that had paused for the age of the log, and not read what came meanwhile.
+    // Sent by a node that had paused longer than the log's retention and had missed all records
+    // since.
     c.onRecord(new Intended(1, "a", 1, 9, 0), 0);
     Claimed claim = (Claimed) c.next(true, false, 0, 1).orElseThrow();
-    // Its successor, of which nothing is kept, may have used each epoch up to its own offset.
+    // The successor, whose records were dropped, may have used any epoch up to its own offset.
     assertThat(claim.epoch(), greaterThan(500L));
   }
 
   @Test
-  void aHolderThatMissedRecordsOrdersNoMoreUnderItsEpoch() {
+  void aHolderThatMissedRecordsMayNotOrderUnderItsEpoch() {
     DutyLease a = lease("a");
     a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
     DutyRecord intent = next(a, 2).orElseThrow();
@@ -245,76 +247,76 @@
     assertThat(claim.epoch(), equalTo(302L));
   }
 
-  /** Nodes with delays, pauses and overlapping claims: orders of two are never close in time. */
+  /** Simulates nodes with delays, pauses and overlapping claims. */
   @Test
-  void ordersOfTwoNodesAreNeverWithinTheHandOverTime() {
+  void ordersOfTwoNodesAreSeparatedByTheHandoverTime() {
     int handovers = 0;
     for (int seed = 1; seed <= 300; seed++) {
-      handovers += new Race(seed, Long.MAX_VALUE).play();
+      handovers += new Simulation(seed, Long.MAX_VALUE).run();
     }
     assertThat(handovers, greaterThan(100));
   }
 
-  /** The same where the log drops records, so that nodes start without the claim or miss some. */
+  /** Also lets the log drop records, so that nodes start without the claim or miss records. */
   @Test
-  void ordersOfTwoNodesAreNeverWithinTheHandOverTimeThoughTheLogForgets() {
+  void ordersOfTwoNodesAreSeparatedByTheHandoverTimeThoughTheLogDropsRecords() {
     int handovers = 0;
     for (int seed = 1; seed <= 600; seed++) {
-      handovers += new Race(seed, 3 * RENEW).play();
+      handovers += new Simulation(seed, 3 * RENEW_MILLIS).run();
     }
     assertThat(handovers, greaterThan(200));
   }
 
-  /** One log, three nodes that read it late, claim eagerly and pause now and then. */
-  private static final class Race {
+  /** Simulation of one log and three nodes that read it late, claim eagerly and pause at times. */
+  private static final class Simulation {
     private final Random random;
     private final List<String> names = List.of("a", "b", "c");
     private final List<DutyLease> leases =
         new ArrayList<>(List.of(lease("a"), lease("b"), lease("c")));
     private long nextIncarnation = 100;
-    private final int[] read = new int[3];
-    private final long[] pausedUntil = new long[3];
+    private final int[] nextIndexByNode = new int[3];
+    private final long[] pausedUntilMillis = new long[3];
     private final long ageMillis;
-    private final List<Long> landedAt = new ArrayList<>();
+    private final List<Long> appendedAtMillis = new ArrayList<>();
     private final List<DutyRecord> log = new ArrayList<>();
     private int firstKept;
-    private final List<DutyRecord> late = new ArrayList<>();
+    private final List<DutyRecord> delayedRecords = new ArrayList<>();
     private int lastNode = -1;
-    private long lastAt;
+    private long lastOrderMillis;
     private long lastFence;
 
-    Race(long seed, long ageMillis) {
+    Simulation(long seed, long ageMillis) {
       random = new Random(seed);
       this.ageMillis = ageMillis;
     }
 
-    private void land(DutyRecord record, long now) {
+    private void append(DutyRecord record, long now) {
       log.add(record);
-      landedAt.add(now);
+      appendedAtMillis.add(now);
     }
 
     private void dropOld(long now) {
-      while (firstKept < log.size() && now - landedAt.get(firstKept) >= ageMillis) {
+      while (firstKept < log.size() && now - appendedAtMillis.get(firstKept) >= ageMillis) {
         firstKept++;
       }
     }
 
-    private void startAnew(int node) {
+    private void restart(int node) {
       leases.set(node, new DutyLease(names.get(node), nextIncarnation++, SETTINGS));
-      read[node] = 0;
+      nextIndexByNode[node] = 0;
     }
 
-    int play() {
+    int run() {
       int handovers = 0;
       for (long now = 0; now < 60_000; now += 50) {
         dropOld(now);
         for (int node = 0; node < 3; node++) {
-          if (now >= pausedUntil[node]) {
+          if (now >= pausedUntilMillis[node]) {
             handovers += step(node, now);
           }
         }
-        if (!late.isEmpty() && random.nextInt(10) == 0) {
-          land(late.remove(0), now);
+        if (!delayedRecords.isEmpty() && random.nextInt(10) == 0) {
+          append(delayedRecords.remove(0), now);
         }
       }
       return handovers;
@@ -324,54 +326,54 @@
       DutyLease lease = leases.get(node);
       if (random.nextInt(200) == 0) {
         boolean isLong = ageMillis != Long.MAX_VALUE && random.nextInt(5) == 0;
-        pausedUntil[node] = now + random.nextInt(isLong ? 30_000 : 8_000);
+        pausedUntilMillis[node] = now + random.nextInt(isLong ? 30_000 : 8_000);
         return 0;
       }
       if (random.nextInt(100) == 0) {
-        // A new start of the node, which reads all that there is at once.
-        startAnew(node);
+        // A new incarnation of the node reads all records at once.
+        restart(node);
         return 0;
       }
       if (random.nextInt(200) == 0 && lease.release().isPresent()) {
-        land(lease.release().orElseThrow(), now);
-        startAnew(node);
+        append(lease.release().orElseThrow(), now);
+        restart(node);
         return 0;
       }
-      if (read[node] < firstKept) {
-        read[node] = firstKept;
+      if (nextIndexByNode[node] < firstKept) {
+        nextIndexByNode[node] = firstKept;
         lease.onGap(firstKept);
       }
       boolean readsAll = random.nextInt(4) == 0;
-      while (read[node] < log.size() && (readsAll || random.nextInt(3) > 0)) {
-        lease.onRecord(log.get(read[node]++), now);
+      while (nextIndexByNode[node] < log.size() && (readsAll || random.nextInt(3) > 0)) {
+        lease.onRecord(log.get(nextIndexByNode[node]++), now);
       }
       boolean holderAlive = random.nextInt(4) > 0;
       lease.next(isNeeded(now), holderAlive, node, now).ifPresent(record -> send(record, now));
       return lease.mayAct(now) ? order(node, lease.epoch(), now) : 0;
     }
 
-    /** In calm nobody writes but a holder that renews. */
+    /** While no order is due only the holder writes, to renew. */
     private boolean isNeeded(long now) {
       return ageMillis == Long.MAX_VALUE || now / 15_000 % 2 == 0;
     }
 
     private void send(DutyRecord record, long now) {
       if (random.nextInt(8) == 0) {
-        late.add(record);
+        delayedRecords.add(record);
       } else {
-        land(record, now);
+        append(record, now);
       }
     }
 
     private int order(int node, long fence, long now) {
       boolean handover = lastNode >= 0 && lastNode != node;
       if (handover) {
-        assertThat(now - lastAt, greaterThanOrEqualTo(HAND_OVER));
+        assertThat(now - lastOrderMillis, greaterThanOrEqualTo(HANDOVER_MILLIS));
         assertThat(fence, greaterThan(lastFence));
       }
       assertThat(fence, greaterThanOrEqualTo(lastFence));
       lastNode = node;
-      lastAt = now;
+      lastOrderMillis = now;
       lastFence = fence;
       return handover ? 1 : 0;
     }
