--- a/core/src/main/java/org/passhaven/core/lease/ClockWatch.java
+++ b/core/src/main/java/org/passhaven/core/lease/ClockWatch.java
@@ -1,33 +1,32 @@
 package org.passhaven.core.lease;
 
 /**
- * Tells when a node's clocks have moved apart. The monotonic clock does not count the time in which
- * the machine is suspended, the time of day does; but it may also be set, so neither alone tells
- * what has happened. Whoever holds something that lapses is to give it up at any gap: safe both
- * ways. Not thread-safe.
+ * Detects jumps between a node's monotonic clock and its time of day. The monotonic clock does not
+ * count the time in which the machine is suspended; the time of day does, but may also be set, so
+ * neither clock alone shows what has happened. A holder of a lease must stop acting at any jump, in
+ * either direction. Not thread-safe.
  */
 public final class ClockWatch {
   /**
-   * Gaps below are none: two clocks are read one after the other, and a processor that is shared
-   * may stand still for a tenth of a second in between. The margins of leases are five times as
-   * long.
+   * Smaller differences are not jumps: the clocks are read one after the other, and the process may
+   * be paused for some 100 ms in between. The safety margins of leases are larger than this.
    */
   public static final long LEAST_GAP_MILLIS = 200;
 
   private boolean isFirst = true;
-  private long aheadMillis;
+  private long previousOffsetMillis;
 
   /**
-   * Compares the clocks.
+   * Compares the clocks with their values at the previous call.
    *
-   * @return by how much the time of day has moved ahead of the monotonic clock since the last look,
-   *     less than zero if it has fallen behind; zero if there is no gap
+   * @return by how much the time of day has moved ahead of the monotonic clock since the previous
+   *     call, negative if it has fallen behind; zero if there is no jump
    */
   public long look(long monotonicMillis, long timeOfDayMillis) {
-    long ahead = timeOfDayMillis - monotonicMillis;
-    long gap = isFirst ? 0 : ahead - aheadMillis;
+    long offsetMillis = timeOfDayMillis - monotonicMillis;
+    long jumpMillis = isFirst ? 0 : offsetMillis - previousOffsetMillis;
     isFirst = false;
-    aheadMillis = ahead;
-    return Math.abs(gap) >= LEAST_GAP_MILLIS ? gap : 0;
+    previousOffsetMillis = offsetMillis;
+    return Math.abs(jumpMillis) >= LEAST_GAP_MILLIS ? jumpMillis : 0;
   }
 }
--- a/core/src/main/java/org/passhaven/core/lease/LeaseTerms.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseTerms.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * Clock rules of a lease.
+ * Timing of a lease.
  *
  * <p>The holder stops at {@code sentAt + term - drift}, counted from before it sent the record that
- * renewed. A successor waits {@code term + drift} from when it read that record, which is later
- * than when it was sent. So the two never overlap while clocks drift by less than {@code drift} in
- * a term.
+ * renewed the lease. A successor waits {@code term + drift} from when it read that record, which is
+ * later than when it was sent. So the two never overlap while clocks drift by less than {@code
+ * drift} within a term.
  *
- * @param term how long one renewal lasts
+ * @param term duration of one renewal
  * @param drift bound on the drift of two monotonic clocks within one term
  * @param renewEvery time between renewals of an idle holder
  */
@@ -23,12 +23,12 @@
     }
   }
 
-  /** Time at which the holder stops acting, in the holder's monotonic milliseconds. */
+  /** Returns the time at which the holder stops acting, in the holder's monotonic milliseconds. */
   public long holderStopsAt(long renewalSentAtMillis) {
     return renewalSentAtMillis + term.toMillis() - drift.toMillis();
   }
 
-  /** Time from which others may claim, in their own monotonic milliseconds. */
+  /** Returns the time from which others may claim, in their own monotonic milliseconds. */
   public long claimableAt(long renewalReadAtMillis) {
     return renewalReadAtMillis + term.toMillis() + drift.toMillis();
   }
--- a/core/src/main/java/org/passhaven/core/lease/package-info.java
+++ b/core/src/main/java/org/passhaven/core/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Clock rules of leases that live in the stream that they protect. */
+/** Timing of leases whose records are kept in the stream that they protect. */
 package org.passhaven.core.lease;
--- a/core/src/main/java/org/passhaven/core/member/BeatPace.java
+++ b/core/src/main/java/org/passhaven/core/member/BeatPace.java
@@ -1,17 +1,17 @@
 package org.passhaven.core.member;
 
 /**
- * How often a node tells that it is alive. Nodes on which runs, orders or callers depend beat at
- * the pace of the settings, so that their loss shows soon; all others share a bounded number of
- * beats a second, so that beats cost the log the same at any size of the fleet. Pure.
+ * Heartbeat interval of idle nodes. Nodes on which runs, orders or callers depend use the interval
+ * of the settings, so that their loss is detected quickly. All other nodes share a bounded number
+ * of heartbeats per second, so that the load on the log does not grow with the fleet.
  */
 public final class BeatPace {
-  /** Two fifths of the appends that a partition takes, at 4 ms each; the rest is for the others. */
-  private static final int IDLE_BEATS_PER_SECOND = 100;
+  /** Leaves most of the append capacity of a partition to other records. */
+  private static final int IDLE_HEARTBEATS_PER_SECOND = 100;
 
   private static final long MIN_IDLE_MILLIS = 1_000;
 
-  /** An idle node that is lost is named to nobody, so that it may be thought alive this long. */
+  /** The loss of an idle node may be detected late, since callers are not directed to it. */
   private static final long MAX_IDLE_MILLIS = 10_000;
 
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -19,12 +19,12 @@
   private BeatPace() {}
 
   /**
-   * Time between two beats of a node on which nobody depends.
+   * Returns the time between two heartbeats of an idle node.
    *
-   * @param liveNodes nodes that are known to be alive
+   * @param liveNodes number of nodes that are known to be alive
    */
   public static long idleMillis(int liveNodes) {
-    long shared = liveNodes * MILLIS_PER_SECOND / IDLE_BEATS_PER_SECOND;
+    long shared = liveNodes * MILLIS_PER_SECOND / IDLE_HEARTBEATS_PER_SECOND;
     return Math.max(MIN_IDLE_MILLIS, Math.min(MAX_IDLE_MILLIS, shared));
   }
 }
--- a/core/src/main/java/org/passhaven/core/member/BeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/BeatTable.java
@@ -13,254 +13,284 @@
 import org.passhaven.protocol.member.MemberBeat;
 
 /**
- * Live nodes by their beats. Each beat tells when the next one is due. Silence is counted against
- * the newest beat of anybody, not against the clock: a log that is down, or a node that can't reach
- * it, makes nobody dead. Times in monotonic milliseconds of the reader. Not thread-safe.
+ * Live nodes, derived from their heartbeats. Each heartbeat states the interval until the next one.
+ * Silence of a node is measured against the newest heartbeat of any node, not against the clock, so
+ * that no node is declared dead because the log is down or this reader can't reach it. Times are in
+ * monotonic milliseconds of the reader. Not thread-safe.
  */
 public final class BeatTable {
   private static final String CALLERS_KEY_PREFIX = "callers/";
-  private static final int FEWEST_FOR_CALLERS = 6;
+  private static final int MIN_NODES_FOR_CALLERS = 6;
 
-  /** Beats that may be missing before a node is dead: two, and the third may be late. */
-  private static final double SILENT_PERIODS = 3.2;
+  /**
+   * Number of heartbeat intervals of silence after which a node is dead: two missing heartbeats,
+   * and a tolerance for the delay of the third.
+   */
+  private static final double MAX_SILENT_PERIODS = 3.2;
 
-  private static final double REQUESTS_PER_NODE = 15;
+  private static final double REQUESTS_PER_SECOND_PER_NODE = 15;
 
   /**
-   * In a fleet that has just started those who are back first come first, in the order of the log:
-   * who is back later, as slow machines are, would hold up what it is the first candidate for.
+   * Number of nodes that rank first in a fleet that has just started, in the order of their first
+   * heartbeats. Nodes that start later, such as slow machines, would delay the work for which they
+   * are the first candidates.
    */
-  private static final int FIRST_BACK = 8;
+  private static final int MAX_FIRST_NODES = 8;
 
-  /** Time for which a start counts as fresh, longer than a lost fleet takes to restart. */
-  private static final long FRESH_MILLIS = 5_000;
+  /**
+   * Time after its start for which a node counts as recently started, longer than a lost fleet
+   * takes to restart.
+   */
+  private static final long RECENT_START_MILLIS = 5_000;
 
-  /** A fleet counts as just started while this share of its nodes is fresh. */
-  private static final double FRESH_SHARE = 0.75;
+  /** A fleet counts as recently started while this share of its nodes does. */
+  private static final double RECENT_START_SHARE = 0.75;
 
   private final long silenceMillis;
-  private final Map<String, Heard> members = new TreeMap<>();
-  private final FleetLoss loss = new FleetLoss();
-  private int beatsHeard;
+  private final Map<String, LatestHeartbeat> members = new TreeMap<>();
+  private final FleetLossDetector lossDetector = new FleetLossDetector();
+  private int heartbeatsRead;
   private long startMillis = Long.MIN_VALUE;
   private long newestMillis = Long.MIN_VALUE;
   private List<MemberBeat> taking;
 
   /**
-   * The newest beat of a node.
+   * The newest heartbeat of a node.
    *
-   * @param firstPlace place in the log of the first beat that was read of this start
-   * @param place place of this beat, in the same order
+   * @param firstPosition position in the log of the first heartbeat that was read of this
+   *     incarnation
+   * @param position position of this heartbeat in the log
    */
-  private record Heard(MemberBeat beat, int firstPlace, int place, long atMillis) {}
+  private record LatestHeartbeat(
+      MemberBeat heartbeat, int firstPosition, int position, long atMillis) {}
 
   /**
    * Creates a table.
    *
-   * @param silenceMillis time without a beat after which a node is dead, if its beats are not
-   *     further apart than that allows
+   * @param silenceMillis minimum silence after which a node is dead; longer for nodes with long
+   *     heartbeat intervals
    */
   public BeatTable(long silenceMillis) {
     this.silenceMillis = silenceMillis;
   }
 
-  /** A beat was read; beats are given in the order of the log. */
-  public void onBeat(MemberBeat beat, long nowMillis) {
-    Objects.requireNonNull(beat, "beat");
+  /** Applies a heartbeat; heartbeats are passed in the order of the log. */
+  public void onBeat(MemberBeat heartbeat, long nowMillis) {
+    Objects.requireNonNull(heartbeat, "heartbeat");
     if (startMillis == Long.MIN_VALUE) {
       startMillis = nowMillis;
     }
     newestMillis = Math.max(newestMillis, nowMillis);
     taking = null;
-    int place = beatsHeard++;
-    if (newestMillis - startMillis < FRESH_MILLIS) {
-      loss.onBeat(beat, place);
+    int position = heartbeatsRead++;
+    if (newestMillis - startMillis < RECENT_START_MILLIS) {
+      lossDetector.onHeartbeat(heartbeat, position);
     }
-    Heard known = members.get(beat.node());
-    // A clock that was set back may give a new start a lower number; silence of the old one
-    // decides.
-    boolean silent = known == null || isSilent(known);
-    if (silent || beat.incarnation() >= known.beat().incarnation()) {
-      boolean isSameStart = known != null && known.beat().start().equals(beat.start());
-      int firstPlace = isSameStart ? known.firstPlace() : place;
-      members.put(beat.node(), new Heard(beat, firstPlace, place, nowMillis));
+    LatestHeartbeat known = members.get(heartbeat.node());
+    // If the clock was set back, a new incarnation may have a lower number; it replaces the old
+    // one once that one is silent.
+    boolean isSilent = known == null || isSilent(known);
+    if (isSilent || heartbeat.incarnation() >= known.heartbeat().incarnation()) {
+      boolean isSameIncarnation =
+          known != null && known.heartbeat().start().equals(heartbeat.start());
+      int firstPosition = isSameIncarnation ? known.firstPosition() : position;
+      members.put(
+          heartbeat.node(), new LatestHeartbeat(heartbeat, firstPosition, position, nowMillis));
     }
   }
 
-  /** Beats were skipped, so it is unknown which nodes have beaten again. */
+  /**
+   * Handles skipped heartbeats, after which it is unknown which nodes have sent heartbeats again.
+   */
   public void onGap() {
-    loss.forget();
+    lossDetector.reset();
   }
 
   /**
-   * Whether so few of the nodes that were there when this reader began go on that the fleet must
-   * have been lost. To be asked within the reader's first seconds.
+   * Returns whether so few of the nodes that were alive when this reader began have sent heartbeats
+   * since that the fleet must have been lost. Valid within the reader's first seconds.
    */
   public boolean isFleetLost() {
-    return loss.lostBefore().isPresent();
+    return lossDetector.firstPositionAfterLoss().isPresent();
   }
 
-  /** Whether enough nodes are believed alive for the loss of the fleet to be detected. */
+  /** Returns whether enough nodes are considered alive for a loss of the fleet to be detectable. */
   public boolean isLossDetectable() {
-    return taking().size() > FleetLoss.MIN_DUE_NODES;
+    return taking().size() > FleetLossDetector.MIN_DUE_NODES;
   }
 
-  /** The fleet was lost: forgets the nodes that have not beaten since. */
+  /** Removes the nodes that have not sent a heartbeat since the fleet was lost. */
   public void forgetLost() {
-    int lostBefore = loss.lostBefore().orElse(0);
-    members.values().removeIf(heard -> heard.place() < lostBefore);
+    int lostBefore = lossDetector.firstPositionAfterLoss().orElse(0);
+    members.values().removeIf(latest -> latest.position() < lostBefore);
     taking = null;
   }
 
-  private boolean isSilent(Heard heard) {
-    return newestMillis - heard.atMillis() >= silenceMillis(heard.beat().periodMillis());
+  private boolean isSilent(LatestHeartbeat latest) {
+    return newestMillis - latest.atMillis() >= silenceMillis(latest.heartbeat().periodMillis());
   }
 
-  /** Time without a beat after which a node is dead whose beats come in a period. */
+  /** Returns the silence after which a node with the given heartbeat interval is dead. */
   public long silenceMillis(long periodMillis) {
-    return Math.max(silenceMillis, (long) (SILENT_PERIODS * periodMillis));
+    return Math.max(silenceMillis, (long) (MAX_SILENT_PERIODS * periodMillis));
   }
 
-  /** Time of the newest beat of anybody; the smallest number if none was read. */
+  /**
+   * Returns the time of the newest heartbeat of any node; {@link Long#MIN_VALUE} if none was read.
+   */
   public long newestMillis() {
     return newestMillis;
   }
 
-  /** Live nodes that take new work, by name. */
+  /** Returns the live nodes that accept new work, sorted by name. */
   public List<MemberBeat> taking() {
     if (taking == null) {
-      taking = findTaking();
+      taking = findAccepting();
     }
     return taking;
   }
 
-  private List<MemberBeat> findTaking() {
+  private List<MemberBeat> findAccepting() {
     return members.values().stream()
-        .filter(heard -> !isSilent(heard))
-        .map(Heard::beat)
+        .filter(latest -> !isSilent(latest))
+        .map(LatestHeartbeat::heartbeat)
         .filter(MemberBeat::taking)
         .sorted(Comparator.comparing(MemberBeat::node))
         .toList();
   }
 
-  /** Whether a node is alive and takes new work. */
+  /** Returns whether a node is alive and accepts new work. */
   public boolean isTaking(String node) {
-    return taking().stream().anyMatch(beat -> beat.node().equals(node));
+    return taking().stream().anyMatch(heartbeat -> heartbeat.node().equals(node));
   }
 
-  /** Whether one start of a node is alive and takes new work. */
+  /** Returns whether an incarnation of a node is alive and accepts new work. */
   public boolean isTaking(String node, long incarnation) {
     return taking().stream()
-        .anyMatch(beat -> beat.node().equals(node) && beat.incarnation() == incarnation);
+        .anyMatch(
+            heartbeat -> heartbeat.node().equals(node) && heartbeat.incarnation() == incarnation);
   }
 
   /**
-   * Whether one start of a node is leaving, or a later start has followed it. Of a start that is
-   * later than what was read nothing is known.
+   * Returns whether an incarnation of a node is leaving or was replaced by a later one; false if
+   * the incarnation is later than the newest one read.
    */
   public boolean isOver(String node, long incarnation) {
-    Heard heard = members.get(node);
-    if (heard == null || heard.beat().incarnation() < incarnation) {
+    LatestHeartbeat latest = members.get(node);
+    if (latest == null || latest.heartbeat().incarnation() < incarnation) {
       return false;
     }
-    return !heard.beat().taking() || heard.beat().incarnation() > incarnation;
+    return !latest.heartbeat().taking() || latest.heartbeat().incarnation() > incarnation;
   }
 
   /**
-   * Place of a node among the live ones: strong ones first, then by start, the youngest first; the
-   * last one if it is unknown. Where nodes are restarted in turn, the youngest one stays longest.
+   * Returns the rank of a node among the live ones: large nodes first, then the most recently
+   * started; the last rank if the node is unknown. During a rolling restart the most recently
+   * started node stays the longest.
    */
   public int rankByYouth(String node) {
-    StrongNodes strong = StrongNodes.among(taking());
-    List<MemberBeat> byYouth =
+    LargeNodes largeNodes = LargeNodes.among(taking());
+    List<MemberBeat> ranked =
         taking().stream()
             .sorted(
-                strong
-                    .first()
+                largeNodes
+                    .largeFirst()
                     .thenComparing(Comparator.comparingLong(MemberBeat::incarnation).reversed()))
             .toList();
-    for (int place = 0; place < byYouth.size(); place++) {
-      if (byYouth.get(place).node().equals(node)) {
-        return place;
+    for (int position = 0; position < ranked.size(); position++) {
+      if (ranked.get(position).node().equals(node)) {
+        return position;
       }
     }
-    return byYouth.size();
+    return ranked.size();
   }
 
-  /** Place of a node among the candidates for a key, from zero; the last one if it is unknown. */
+  /**
+   * Returns the rank of a node among the candidates for a key, from zero; the last rank if the node
+   * is unknown.
+   */
   public int rankOf(String key, String node) {
     List<Member> ranked = rank(key);
-    for (int place = 0; place < ranked.size(); place++) {
-      if (ranked.get(place).name().equals(node)) {
-        return place;
+    for (int position = 0; position < ranked.size(); position++) {
+      if (ranked.get(position).name().equals(node)) {
+        return position;
       }
     }
     return ranked.size();
   }
 
   private List<Member> rank(String key) {
-    List<MemberBeat> fresh = freshInOrder();
-    if (fresh.size() < FRESH_SHARE * taking().size()) {
+    List<MemberBeat> recentlyStarted = recentlyStartedInOrder();
+    if (recentlyStarted.size() < RECENT_START_SHARE * taking().size()) {
       return rank(key, taking());
     }
-    Set<MemberBeat> first = Set.copyOf(firstOf(fresh));
-    List<MemberBeat> others = taking().stream().filter(beat -> !first.contains(beat)).toList();
-    List<Member> ranked = new ArrayList<>(rank(key, firstOf(fresh)));
+    Set<MemberBeat> first = Set.copyOf(limitToFirstNodes(recentlyStarted));
+    List<MemberBeat> others =
+        taking().stream().filter(heartbeat -> !first.contains(heartbeat)).toList();
+    List<Member> ranked = new ArrayList<>(rank(key, limitToFirstNodes(recentlyStarted)));
     ranked.addAll(rank(key, others));
     return ranked;
   }
 
-  /** Live nodes that have just started, in the order in which they came. */
-  private List<MemberBeat> freshInOrder() {
+  /** Returns the live nodes that have recently started, in the order of their first heartbeats. */
+  private List<MemberBeat> recentlyStartedInOrder() {
     return taking().stream()
-        .filter(BeatTable::isFresh)
-        .sorted(Comparator.comparingInt(beat -> members.get(beat.node()).firstPlace()))
+        .filter(BeatTable::isRecentlyStarted)
+        .sorted(Comparator.comparingInt(heartbeat -> members.get(heartbeat.node()).firstPosition()))
         .toList();
   }
 
-  private static boolean isFresh(MemberBeat beat) {
-    return beat.inLogMillis() > 0 && beat.inLogMillis() < FRESH_MILLIS;
+  private static boolean isRecentlyStarted(MemberBeat heartbeat) {
+    return heartbeat.inLogMillis() > 0 && heartbeat.inLogMillis() < RECENT_START_MILLIS;
   }
 
-  private static List<MemberBeat> firstOf(List<MemberBeat> fresh) {
-    return fresh.subList(0, Math.min(FIRST_BACK, fresh.size()));
+  private static List<MemberBeat> limitToFirstNodes(List<MemberBeat> recentlyStarted) {
+    return recentlyStarted.subList(0, Math.min(MAX_FIRST_NODES, recentlyStarted.size()));
   }
 
   private static List<Member> rank(String key, List<MemberBeat> beats) {
-    StrongNodes strong = StrongNodes.among(beats);
-    List<Member> ranked = new ArrayList<>(rendezvous(key, beats, strong::contains));
-    ranked.addAll(rendezvous(key, beats, beat -> !strong.contains(beat)));
+    LargeNodes largeNodes = LargeNodes.among(beats);
+    List<Member> ranked = new ArrayList<>(rankByRendezvous(key, beats, largeNodes::contains));
+    ranked.addAll(rankByRendezvous(key, beats, heartbeat -> !largeNodes.contains(heartbeat)));
     return ranked;
   }
 
-  private static List<Member> rendezvous(
-      String key, List<MemberBeat> beats, Predicate<MemberBeat> chosen) {
+  private static List<Member> rankByRendezvous(
+      String key, List<MemberBeat> beats, Predicate<MemberBeat> selected) {
     List<Member> candidates =
-        beats.stream().filter(chosen).map(beat -> new Member(beat.node(), beat.zone())).toList();
+        beats.stream()
+            .filter(selected)
+            .map(heartbeat -> new Member(heartbeat.node(), heartbeat.zone()))
+            .toList();
     return Rendezvous.rank(key, candidates, candidates.size());
   }
 
   /**
-   * Addresses at which callers reach live nodes: those of a zone if it has enough, else all. Of
-   * many nodes only as many are named as the callers' load needs, the same ones each time, strong
-   * ones first: connections to back ends then stay in use instead of being opened anew at every
+   * Returns addresses of live nodes for callers: those of the caller's zone if it has enough nodes,
+   * else of all. Only as many nodes are returned as the callers' load needs, the same ones each
+   * time, large ones first, so that connections to back ends are reused instead of opened at every
    * node.
    *
-   * @param enough nodes of the caller's zone that suffice
+   * @param minInZone number of nodes in the caller's zone that suffice
+   * @param maxAddresses maximum number of addresses
    */
-  public List<String> addressesFor(String zone, int enough, int most) {
+  public List<String> addressesFor(String zone, int minInZone, int maxAddresses) {
     List<MemberBeat> all = taking();
-    List<MemberBeat> near = all.stream().filter(beat -> beat.zone().equals(zone)).toList();
-    List<MemberBeat> chosen = near.size() >= enough ? near : all;
-    double load = chosen.stream().mapToDouble(MemberBeat::requestsPerSecond).sum();
-    long needed = Math.max(FEWEST_FOR_CALLERS, (long) Math.ceil(load / REQUESTS_PER_NODE));
-    return chosen.stream()
+    List<MemberBeat> inZone =
+        all.stream().filter(heartbeat -> heartbeat.zone().equals(zone)).toList();
+    List<MemberBeat> selected = inZone.size() >= minInZone ? inZone : all;
+    double requestsPerSecond = selected.stream().mapToDouble(MemberBeat::requestsPerSecond).sum();
+    long needed =
+        Math.max(
+            MIN_NODES_FOR_CALLERS,
+            (long) Math.ceil(requestsPerSecond / REQUESTS_PER_SECOND_PER_NODE));
+    return selected.stream()
         .sorted(
-            StrongNodes.among(chosen)
-                .first()
+            LargeNodes.among(selected)
+                .largeFirst()
                 .thenComparingLong(
-                    beat -> Rendezvous.weight(CALLERS_KEY_PREFIX + zone, beat.node())))
-        .limit(Math.min(needed, most))
+                    heartbeat -> Rendezvous.weight(CALLERS_KEY_PREFIX + zone, heartbeat.node())))
+        .limit(Math.min(needed, maxAddresses))
         .map(MemberBeat::address)
         .toList();
   }
--- a/core/src/main/java/org/passhaven/core/member/package-info.java
+++ b/core/src/main/java/org/passhaven/core/member/package-info.java
@@ -1,2 +1,2 @@
-/** Which nodes are alive, by their beats in the log. Pure. */
+/** Liveness of nodes, derived from their heartbeats in the log. Pure logic without I/O. */
 package org.passhaven.core.member;
--- a/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
@@ -6,29 +6,29 @@
 import org.junit.jupiter.api.Test;
 
 class ClockWatchTest {
-  private final ClockWatch watch = new ClockWatch();
+  private final ClockWatch detector = new ClockWatch();
 
   @Test
-  void whatTheMonotonicClockHasNotCountedIsAGapOnce() {
-    assertThat(watch.look(1_000, 900_000), is(0L));
-    assertThat(watch.look(1_010, 905_010), is(5_000L));
-    assertThat(watch.look(1_020, 905_020), is(0L));
+  void aSuspensionIsReportedOnce() {
+    assertThat(detector.look(1_000, 900_000), is(0L));
+    assertThat(detector.look(1_010, 905_010), is(5_000L));
+    assertThat(detector.look(1_020, 905_020), is(0L));
   }
 
   @Test
-  void aTimeOfDayThatIsSetIsAGapBothWays() {
-    watch.look(1_000, 900_000);
-    assertThat(watch.look(1_010, 902_010), is(2_000L));
-    assertThat(watch.look(1_020, 900_020), is(-2_000L));
+  void settingTheTimeOfDayIsAJumpInBothDirections() {
+    detector.look(1_000, 900_000);
+    assertThat(detector.look(1_010, 902_010), is(2_000L));
+    assertThat(detector.look(1_020, 900_020), is(-2_000L));
   }
 
   @Test
-  void aPauseThatBothClocksCountAndSlewingAreNone() {
-    watch.look(1_000, 900_000);
-    assertThat(watch.look(11_000, 910_000), is(0L));
+  void pausesCountedByBothClocksAndSlewingAreNoJumps() {
+    detector.look(1_000, 900_000);
+    assertThat(detector.look(11_000, 910_000), is(0L));
     for (int i = 1; i < 100; i++) {
-      assertThat(watch.look(11_000 + 100L * i, 910_000 + 101L * i), is(0L));
+      assertThat(detector.look(11_000 + 100L * i, 910_000 + 101L * i), is(0L));
     }
-    assertThat(watch.look(21_000, 920_100 + ClockWatch.LEAST_GAP_MILLIS - 1 - 1), is(0L));
+    assertThat(detector.look(21_000, 920_100 + ClockWatch.LEAST_GAP_MILLIS - 1 - 1), is(0L));
   }
 }
--- a/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void renewalCountsFromWhenItWasSent() {
+  void aRenewalCountsFromTheTimeOfSending() {
     LeaseWatch holder = new LeaseWatch(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     holder.onFencedRead(9_000, 2_000);
@@ -32,14 +32,15 @@
   }
 
   @Test
-  void ownClaimIsNeverClaimedAgain() {
+  void anOwnClaimIsNeverClaimedAgain() {
     LeaseWatch holder = new LeaseWatch(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
-    assertThat("a lapsed own claim stands until another is read", !holder.mayClaim(1_000_000, 0));
+    assertThat(
+        "an expired own claim stays valid until another is read", !holder.mayClaim(1_000_000, 0));
   }
 
   @Test
-  void releasedLeaseIsClaimedByRank() {
+  void aReleasedLeaseIsClaimedInOrderOfRank() {
     LeaseWatch other = new LeaseWatch(TERMS, 0);
     other.onClaimRead(1, false, 1_000, 1_000);
     other.onReleasedRead();
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void termMustLeaveRoomForRenewalAndDrift() {
+  void termMustExceedRenewalIntervalAndDrift() {
     assertThrows(
         IllegalArgumentException.class,
         () ->
@@ -57,22 +58,22 @@
   }
 
   @Test
-  void aGapOfTheClocksEndsTheLeaseUntilARecordSentSinceThenIsRead() {
+  void aClockJumpSuspendsTheHolderUntilALaterRecordIsRead() {
     LeaseWatch holder = new LeaseWatch(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     assertThat("acts", holder.mayAct(100));
     holder.onClockGap(100);
-    assertThat("doubts", !holder.mayAct(100));
+    assertThat("stops at the jump", !holder.mayAct(100));
     holder.onFencedRead(120, 90);
-    assertThat("sent before the gap", !holder.mayAct(120));
-    // The clock stood still meanwhile, so this may have been sent right before the suspension.
+    assertThat("sent before the jump", !holder.mayAct(120));
+    // The clock stood still during the suspension, so this may have been sent right before it.
     holder.onFencedRead(120, 100);
-    assertThat("sent at the time of the gap", !holder.mayAct(120));
+    assertThat("sent at the time of the jump", !holder.mayAct(120));
     holder.onFencedRead(150, 130);
-    assertThat("sent since the gap", holder.mayAct(150));
+    assertThat("sent since the jump", holder.mayAct(150));
     LeaseWatch other = new LeaseWatch(TERMS, 0);
     other.onClaimRead(1, false, 1_000, 1_000);
     other.onClockGap(1_100);
-    assertThat("waits all the same", !other.mayClaim(1_000 + 6_000 - 1, 0));
+    assertThat("a jump does not shorten the wait", !other.mayClaim(1_000 + 6_000 - 1, 0));
   }
 }
--- a/core/src/test/java/org/passhaven/core/member/BeatPaceTest.java
+++ b/core/src/test/java/org/passhaven/core/member/BeatPaceTest.java
@@ -10,7 +10,7 @@
 
 class BeatPaceTest {
   @Test
-  void aSmallFleetBeatsOnceASecond() {
+  void idleNodesOfASmallFleetSendOneHeartbeatPerSecond() {
     assertThat(BeatPace.idleMillis(0), equalTo(1_000L));
     assertThat(BeatPace.idleMillis(12), equalTo(1_000L));
     assertThat(BeatPace.idleMillis(95), equalTo(1_000L));
@@ -18,13 +18,13 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 30, 95, 125, 408, 1_000})
-  void allIdleNodesTogetherMakeABoundedNumberOfBeats(int nodes) {
+  void heartbeatsOfAllIdleNodesAreBounded(int nodes) {
     double beatsPerSecond = nodes * 1_000.0 / BeatPace.idleMillis(nodes);
     assertThat(beatsPerSecond, lessThanOrEqualTo(100.1));
   }
 
   @Test
-  void evenInTheLargestFleetANodeIsHeardOf() {
+  void theIntervalIsBoundedInTheLargestFleet() {
     assertThat(BeatPace.idleMillis(1_000_000), equalTo(10_000L));
   }
 }
