--- a/core/src/main/java/org/passhaven/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipSettings.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * Pace of heartbeats.
+ * Timing of heartbeats and failure detection.
  *
  * @param period time between two heartbeats of a node
  * @param suspectAfter silence of a probed node after which it is suspected
- * @param deadAfter time for a suspected node to speak up before it counts as dead
- * @param newsPerMessage most statements about others in one message
+ * @param deadAfter time in which a suspected node must send a higher heartbeat, else it counts as
+ *     dead
+ * @param newsPerMessage maximum number of updates about other nodes in one message
  */
 public record MembershipSettings(
     Duration period, Duration suspectAfter, Duration deadAfter, int newsPerMessage) {
--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -15,18 +15,19 @@
 import org.passhaven.protocol.NodeId;
 
 /**
- * What one node believes of all others. A heartbeat goes to one member a period, in a shuffled
- * round, so the cost of a node does not grow with the fleet; news ride on heartbeats, each a number
- * of times that grows with the logarithm of the fleet. A silent member is suspected, and has time
- * to speak up with a higher heartbeat before it counts as dead, so a paused process comes back by
- * itself. Pure; times in monotonic milliseconds. Not thread-safe.
+ * One node's view of the membership of all nodes, maintained by gossip. Each period a heartbeat is
+ * sent to one member, in a shuffled round, so that the cost for a node does not grow with the
+ * fleet. Updates about other members are piggybacked on heartbeats, each a number of times that
+ * grows with the logarithm of the fleet size. A silent member is suspected first and may refute
+ * this with a higher heartbeat before it counts as dead, so that a paused process rejoins by
+ * itself. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class MembershipTable {
-  private static final int SPREAD_FACTOR = 3;
-  private static final long FORGET_DEAD_MILLIS = 120_000;
+  private static final int DISSEMINATION_FACTOR = 3;
+  private static final long DEAD_EXPIRY_MILLIS = 120_000;
   private final MembershipSettings settings;
-  private final Map<NodeId, Entry> members = new TreeMap<>();
-  private final Map<NodeId, Integer> newsSends = new LinkedHashMap<>();
+  private final Map<NodeId, MemberEntry> members = new TreeMap<>();
+  private final Map<NodeId, Integer> updateSendCounts = new LinkedHashMap<>();
   private final java.util.function.IntUnaryOperator randomBelow;
   private List<NodeId> round = List.of();
   private int nextInRound;
@@ -35,7 +36,7 @@
   /**
    * Creates a table that knows only its own node.
    *
-   * @param randomBelow a random number from zero to below its argument
+   * @param randomBelow returns a random number from zero (inclusive) to its argument (exclusive)
    */
   public MembershipTable(
       MemberState self,
@@ -46,12 +47,12 @@
     this.randomBelow = Objects.requireNonNull(randomBelow, "randomBelow");
   }
 
-  /** Own state, as sent with each message. */
+  /** Returns this node's state, as sent with each message. */
   public MemberState self() {
     return self;
   }
 
-  /** The configuration in force here changed. */
+  /** Sets the revision of the configuration in force at this node. */
   public void setRevision(long revision) {
     self =
         new MemberState(
@@ -64,104 +65,113 @@
             revision);
   }
 
-  /** This node begins a planned stop. */
+  /** Marks this node as leaving because a planned shutdown begins. */
   public void setLeaving() {
-    self = beat(self, self.heartbeat() + 1).withStatus(Status.LEAVING);
+    self = withHeartbeat(self, self.heartbeat() + 1).withStatus(Status.LEAVING);
   }
 
-  /** A node named by the platform's list or the settings; what it says itself replaces this. */
+  /**
+   * Adds a node named by the platform's list or the settings; its own messages replace this entry.
+   */
   public void introduce(NodeId node, String address, String zone, long nowMillis) {
     if (!node.equals(self.node()) && !members.containsKey(node)) {
       MemberState state = new MemberState(node, address, zone, 0, 0, Status.ALIVE, 0);
-      members.put(node, new Entry(state, nowMillis));
+      members.put(node, new MemberEntry(state, nowMillis));
     }
   }
 
-  /** The platform's list no longer names a node. */
+  /** Suspects a node that the platform's list no longer names. */
   public void withdraw(NodeId node, long nowMillis) {
-    Entry entry = members.get(node);
+    MemberEntry entry = members.get(node);
     if (entry != null && entry.state.status() == Status.ALIVE) {
-      become(entry, entry.state.withStatus(Status.SUSPECT), nowMillis);
+      changeState(entry, entry.state.withStatus(Status.SUSPECT), nowMillis);
     }
   }
 
-  /** Takes in what a message says. */
-  public void onMessage(MemberState sender, Collection<MemberState> news, long nowMillis) {
+  /** Applies the states in a message. */
+  public void onMessage(MemberState sender, Collection<MemberState> updates, long nowMillis) {
     merge(sender, nowMillis);
-    news.forEach(state -> merge(state, nowMillis));
+    updates.forEach(state -> merge(state, nowMillis));
   }
 
-  private void merge(MemberState said, long nowMillis) {
-    if (said.node().equals(self.node())) {
-      refute(said);
+  private void merge(MemberState received, long nowMillis) {
+    if (received.node().equals(self.node())) {
+      refute(received);
       return;
     }
-    Entry known = members.get(said.node());
+    MemberEntry known = members.get(received.node());
     if (known == null) {
-      if (said.status() != Status.DEAD) {
-        members.put(said.node(), new Entry(said, nowMillis));
-        newsSends.put(said.node(), 0);
+      if (received.status() != Status.DEAD) {
+        members.put(received.node(), new MemberEntry(received, nowMillis));
+        updateSendCounts.put(received.node(), 0);
       }
       return;
     }
-    if (!replaces(said, known.state)) {
+    if (!isNewer(received, known.state)) {
       return;
     }
-    boolean isNews =
-        said.status() != known.state.status() || said.incarnation() != known.state.incarnation();
-    known.state = said;
+    boolean isUpdate =
+        received.status() != known.state.status()
+            || received.incarnation() != known.state.incarnation();
+    known.state = received;
     known.changedAtMillis = nowMillis;
-    if (isNews) {
-      newsSends.put(said.node(), 0);
+    if (isUpdate) {
+      updateSendCounts.put(received.node(), 0);
     }
   }
 
-  /** A statement that this node is gone is answered by a higher heartbeat. */
-  private void refute(MemberState said) {
-    boolean gone = said.status() == Status.SUSPECT || said.status() == Status.DEAD;
-    if (said.incarnation() == self.incarnation() && said.heartbeat() >= self.heartbeat() && gone) {
-      self = beat(self, said.heartbeat() + 1);
-      newsSends.put(self.node(), 0);
+  /** Refutes the statement that this node is suspected or dead with a higher heartbeat. */
+  private void refute(MemberState received) {
+    boolean isDeclaredGone =
+        received.status() == Status.SUSPECT || received.status() == Status.DEAD;
+    if (received.incarnation() == self.incarnation()
+        && received.heartbeat() >= self.heartbeat()
+        && isDeclaredGone) {
+      self = withHeartbeat(self, received.heartbeat() + 1);
+      updateSendCounts.put(self.node(), 0);
     }
   }
 
-  private static boolean replaces(MemberState said, MemberState known) {
-    if (said.incarnation() != known.incarnation()) {
-      return said.incarnation() > known.incarnation();
+  private static boolean isNewer(MemberState received, MemberState known) {
+    if (received.incarnation() != known.incarnation()) {
+      return received.incarnation() > known.incarnation();
     }
-    if (said.heartbeat() != known.heartbeat()) {
-      return said.heartbeat() > known.heartbeat();
+    if (received.heartbeat() != known.heartbeat()) {
+      return received.heartbeat() > known.heartbeat();
     }
-    return said.status().compareTo(known.status()) > 0 || said.revision() > known.revision();
+    return received.status().compareTo(known.status()) > 0
+        || received.revision() > known.revision();
   }
 
-  /** Ends a period: counts own heartbeat up, lets suspicion run out. */
+  /**
+   * Ends a period: increments this node's heartbeat and declares suspects dead whose time is over.
+   */
   public void onPeriod(long nowMillis) {
-    self = beat(self, self.heartbeat() + 1);
-    for (Entry entry : List.copyOf(members.values())) {
+    self = withHeartbeat(self, self.heartbeat() + 1);
+    for (MemberEntry entry : List.copyOf(members.values())) {
       long silentMillis = nowMillis - entry.changedAtMillis;
       if (entry.state.status() == Status.SUSPECT
           && silentMillis >= settings.deadAfter().toMillis()) {
-        become(entry, entry.state.withStatus(Status.DEAD), nowMillis);
-      } else if (entry.state.status() == Status.DEAD && silentMillis >= FORGET_DEAD_MILLIS) {
+        changeState(entry, entry.state.withStatus(Status.DEAD), nowMillis);
+      } else if (entry.state.status() == Status.DEAD && silentMillis >= DEAD_EXPIRY_MILLIS) {
         members.remove(entry.state.node());
       }
     }
   }
 
   /**
-   * Next member to send a heartbeat to; dead ones are tried now and then, so that a healed cut
-   * joins again.
+   * Returns the next member to send a heartbeat to. Dead members are included, so that members
+   * rejoin after a healed network partition.
    */
   public Optional<MemberState> nextTarget() {
-    for (int tried = 0; tried <= members.size(); tried++) {
+    for (int attempts = 0; attempts <= members.size(); attempts++) {
       if (nextInRound >= round.size()) {
         startRound();
       }
       if (round.isEmpty()) {
         return Optional.empty();
       }
-      Entry entry = members.get(round.get(nextInRound++));
+      MemberEntry entry = members.get(round.get(nextInRound++));
       if (entry != null) {
         return Optional.of(entry.state);
       }
@@ -169,7 +179,7 @@
     return Optional.empty();
   }
 
-  /** A member to ask for a second opinion on {@code target}. */
+  /** Returns a member to ask for an indirect probe of {@code target}. */
   public Optional<MemberState> helperFor(NodeId target) {
     List<MemberState> helpers =
         alive().stream()
@@ -189,42 +199,48 @@
     nextInRound = 0;
   }
 
-  /** Neither the member nor a helper reached it. */
+  /** Suspects a node that neither this member nor a helper could reach. */
   public void onUnreachable(NodeId node, long nowMillis) {
-    Entry entry = members.get(node);
+    MemberEntry entry = members.get(node);
     if (entry != null && entry.state.status() == Status.ALIVE) {
-      become(entry, entry.state.withStatus(Status.SUSPECT), nowMillis);
+      changeState(entry, entry.state.withStatus(Status.SUSPECT), nowMillis);
     }
   }
 
-  /** News for the next message, least sent first; counts them as sent. */
+  /**
+   * Returns the updates for the next message, the least often sent first, and counts them as sent.
+   */
   public List<MemberState> takeNews() {
-    int sends = SPREAD_FACTOR * (Integer.SIZE - Integer.numberOfLeadingZeros(members.size() + 1));
+    int sends =
+        DISSEMINATION_FACTOR * (Integer.SIZE - Integer.numberOfLeadingZeros(members.size() + 1));
     List<NodeId> chosen =
-        newsSends.entrySet().stream()
+        updateSendCounts.entrySet().stream()
             .sorted(
                 Map.Entry.<NodeId, Integer>comparingByValue()
                     .thenComparing(Map.Entry.comparingByKey()))
             .limit(settings.newsPerMessage())
             .map(Map.Entry::getKey)
             .toList();
-    List<MemberState> news = new ArrayList<>();
+    List<MemberState> updates = new ArrayList<>();
     for (NodeId node : chosen) {
-      Entry entry = members.get(node);
+      MemberEntry entry = members.get(node);
       if (node.equals(self.node())) {
-        news.add(self);
+        updates.add(self);
       } else if (entry != null) {
-        news.add(entry.state);
+        updates.add(entry.state);
       }
-      if (newsSends.merge(node, 1, Integer::sum) >= sends
+      if (updateSendCounts.merge(node, 1, Integer::sum) >= sends
           || (entry == null && !node.equals(self.node()))) {
-        newsSends.remove(node);
+        updateSendCounts.remove(node);
       }
     }
-    return news;
+    return updates;
   }
 
-  /** Own node and all others that take new work, by name. */
+  /**
+   * Returns this node and all others that accept new work, sorted by name; suspected ones are
+   * included.
+   */
   public List<MemberState> alive() {
     Map<NodeId, MemberState> alive = new HashMap<>();
     members.values().stream()
@@ -237,18 +253,18 @@
     return alive.values().stream().sorted(Comparator.comparing(MemberState::node)).toList();
   }
 
-  /** All that is believed of others. */
+  /** Returns the states of all other members. */
   public List<MemberState> others() {
     return members.values().stream().map(entry -> entry.state).toList();
   }
 
-  private void become(Entry entry, MemberState state, long nowMillis) {
+  private void changeState(MemberEntry entry, MemberState state, long nowMillis) {
     entry.state = state;
     entry.changedAtMillis = nowMillis;
-    newsSends.put(state.node(), 0);
+    updateSendCounts.put(state.node(), 0);
   }
 
-  private static MemberState beat(MemberState state, long heartbeat) {
+  private static MemberState withHeartbeat(MemberState state, long heartbeat) {
     return new MemberState(
         state.node(),
         state.address(),
@@ -259,11 +275,11 @@
         state.revision());
   }
 
-  private static final class Entry {
+  private static final class MemberEntry {
     MemberState state;
     long changedAtMillis;
 
-    Entry(MemberState state, long changedAtMillis) {
+    MemberEntry(MemberState state, long changedAtMillis) {
       this.state = state;
       this.changedAtMillis = changedAtMillis;
     }
--- a/core/src/main/java/org/passhaven/core/membership/package-info.java
+++ b/core/src/main/java/org/passhaven/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Who is alive: heartbeats, suspicion and their spread. */
+/** Gossip-based membership: heartbeats, suspicion and their dissemination. */
 package org.passhaven.core.membership;
--- a/core/src/main/java/org/passhaven/core/order/LoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/LoadLimit.java
@@ -1,12 +1,12 @@
 package org.passhaven.core.order;
 
 /**
- * How many servers of a service load weights at a time. Those that load take nothing new meanwhile,
- * and too many of them slow each other; too few, and the last server of a large service gets a
- * version only when it is old.
+ * Limit on the number of servers of a service that load weights concurrently. A server accepts no
+ * new work while it loads, and concurrent loads slow each other down; with too few of them, the
+ * last server of a large service gets a version late.
  *
- * @param minAtOnce servers that may always load, at least 1
- * @param shareAtOnce part of the service's servers that may load, from 0 to 1
+ * @param minAtOnce number of servers that may always load, at least 1
+ * @param shareAtOnce fraction of the service's servers that may load, from 0 to 1
  */
 public record LoadLimit(int minAtOnce, double shareAtOnce) {
   public LoadLimit {
@@ -18,7 +18,10 @@
     }
   }
 
-  /** Servers that may load at a time in a service of {@code servers}. */
+  /**
+   * Returns the number of servers that may load concurrently in a service of {@code servers}
+   * servers.
+   */
   public int of(long servers) {
     return (int) Math.max(minAtOnce, Math.floor(servers * shareAtOnce));
   }
--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
@@ -14,39 +14,39 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * Chooses which servers load which weight version next, of those that {@link WeightPlacement}
- * wants. Few load at once, since more slow each other; the model whose newest version fewest
- * servers have goes first. Times in monotonic milliseconds. Not thread-safe.
+ * Plans which servers load which weight version next, following the placement of {@link
+ * WeightPlacement}. Only a limited number load concurrently, since loads slow each other down; the
+ * model whose newest version is on the fewest servers goes first. Times are in monotonic
+ * milliseconds. Not thread-safe.
  */
 public final class VersionOrderPlanner {
-  /** A version that a server is to load. */
+  /** A version of a model's weights that a server is to load. */
   public record Wanted(ServerEntry server, String model, long version) {}
 
   private final LoadLimit limit;
   private final Map<ServerStart, Wanted> loading = new TreeMap<>();
   private final Map<ServerStart, Long> notBeforeMillis = new HashMap<>();
-  private final Map<ServerStart, Long> suspectUntilMillis = new HashMap<>();
+  private final Map<ServerStart, Long> unreachableUntilMillis = new HashMap<>();
   private final WeightPlacement placement = new WeightPlacement(ServerEntry::versionOf);
 
-  /**
-   * Creates a planner that lets as many servers of a service load at a time as {@code limit} says.
-   */
+  /** Creates a planner with a limit on the concurrent loads of a service. */
   public VersionOrderPlanner(LoadLimit limit) {
     this.limit = Objects.requireNonNull(limit, "limit");
   }
 
-  /** All loads that are due and not under way. */
+  /** Returns all loads that are due and not in progress. */
   public List<Wanted> due(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
-    List<ServerEntry> sound =
+    List<ServerEntry> reachable =
         servers.stream()
             .filter(
                 server ->
-                    nowMillis >= suspectUntilMillis.getOrDefault(server.start(), Long.MIN_VALUE))
+                    nowMillis
+                        >= unreachableUntilMillis.getOrDefault(server.start(), Long.MIN_VALUE))
             .toList();
     Map<ServerStart, Set<String>> placed =
-        placement.place(sound, demand.newestVersions().keySet(), demand.openItems());
+        placement.place(reachable, demand.newestVersions().keySet(), demand.openItems());
     List<Wanted> due = new ArrayList<>();
-    for (ServerEntry server : sound) {
+    for (ServerEntry server : reachable) {
       for (String model : new TreeSet<>(placed.getOrDefault(server.start(), Set.of()))) {
         long version = demand.newestVersions().get(model);
         if (server.versionOf(model) < version && !loading.containsKey(server.start())) {
@@ -57,84 +57,88 @@
     return due;
   }
 
-  /** Whether some order is due or under way. */
+  /** Returns whether a load is due or in progress. */
   public boolean isNeeded(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     return !loading.isEmpty() || !due(servers, demand, nowMillis).isEmpty();
   }
 
-  /** Loads to begin now; they count as under way until {@link #onDone} or {@link #onFailed}. */
+  /**
+   * Starts the loads that are due and allowed now, and returns them. They count as in progress
+   * until {@link #onDone} or {@link #onFailed}.
+   */
   public List<Wanted> begin(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
-    forgetOld(nowMillis);
+    removeExpired(nowMillis);
     loading.keySet().removeIf(start -> servers.stream().noneMatch(s -> s.start().equals(start)));
-    List<Wanted> begun = new ArrayList<>();
+    List<Wanted> started = new ArrayList<>();
     while (true) {
       List<Wanted> due =
           due(servers, demand, nowMillis).stream()
-              .filter(wanted -> mayBegin(wanted.server(), servers, nowMillis))
+              .filter(load -> mayStart(load.server(), servers, nowMillis))
               .toList();
       if (due.isEmpty()) {
-        return begun;
+        return started;
       }
       Wanted next =
           due.stream()
               .min(
-                  Comparator.comparingLong((Wanted wanted) -> served(servers, wanted))
-                      .thenComparing(wanted -> wanted.server().versionOf(wanted.model()))
-                      .thenComparing(wanted -> wanted.server().start()))
+                  Comparator.comparingLong((Wanted load) -> countLoadedOrLoading(servers, load))
+                      .thenComparing(load -> load.server().versionOf(load.model()))
+                      .thenComparing(load -> load.server().start()))
               .orElseThrow();
       loading.put(next.server().start(), next);
-      begun.add(next);
+      started.add(next);
     }
   }
 
-  private boolean mayBegin(ServerEntry server, Collection<ServerEntry> servers, long nowMillis) {
-    long sameService =
+  private boolean mayStart(ServerEntry server, Collection<ServerEntry> servers, long nowMillis) {
+    long serversInService =
         servers.stream().filter(other -> other.service().equals(server.service())).count();
-    long loadingNow =
+    long loadingInService =
         loading.values().stream()
-            .filter(wanted -> wanted.server().service().equals(server.service()))
+            .filter(load -> load.server().service().equals(server.service()))
             .count();
-    return loadingNow < limit.of(sameService)
+    return loadingInService < limit.of(serversInService)
         && nowMillis >= notBeforeMillis.getOrDefault(server.start(), Long.MIN_VALUE);
   }
 
-  /** Servers that have the wanted version or are loading it. */
-  private long served(Collection<ServerEntry> servers, Wanted wanted) {
-    long having =
-        servers.stream()
-            .filter(server -> server.versionOf(wanted.model()) >= wanted.version())
-            .count();
-    long loadingIt =
-        loading.values().stream().filter(other -> other.model().equals(wanted.model())).count();
-    return having + loadingIt;
+  /** Returns the number of servers that have the version or are loading it. */
+  private long countLoadedOrLoading(Collection<ServerEntry> servers, Wanted load) {
+    long loadedCount =
+        servers.stream().filter(server -> server.versionOf(load.model()) >= load.version()).count();
+    long loadingCount =
+        loading.values().stream().filter(other -> other.model().equals(load.model())).count();
+    return loadedCount + loadingCount;
   }
 
-  /** A load has ended well. */
+  /** Records that a server has completed its load. */
   public void onDone(ServerStart start) {
     loading.remove(start);
   }
 
-  /** A load came to nothing; the server is left alone until {@code retryAtMillis}. */
+  /** Records a failed load; the server gets no load before {@code retryAtMillis}. */
   public void onFailed(ServerStart start, long retryAtMillis) {
     loading.remove(start);
     notBeforeMillis.put(start, retryAtMillis);
   }
 
-  /** A server gave no answer; other servers take its place until {@code retryAtMillis}. */
+  /**
+   * Records that a server did not respond; other servers replace it in the placement until {@code
+   * retryAtMillis}.
+   */
   public void onUnreachable(ServerStart start, long retryAtMillis) {
     onFailed(start, retryAtMillis);
-    suspectUntilMillis.put(start, retryAtMillis);
+    unreachableUntilMillis.put(start, retryAtMillis);
   }
 
-  private void forgetOld(long nowMillis) {
+  private void removeExpired(long nowMillis) {
     notBeforeMillis.values().removeIf(until -> until <= nowMillis);
-    suspectUntilMillis.values().removeIf(until -> until <= nowMillis);
+    unreachableUntilMillis.values().removeIf(until -> until <= nowMillis);
   }
 
-  /** Forgets all loads under way and all failures. */
+  /** Discards all loads in progress and all failures. */
   public void reset() {
     loading.clear();
     notBeforeMillis.clear();
-    suspectUntilMillis.clear();
+    unreachableUntilMillis.clear();
   }
 }
--- a/core/src/main/java/org/passhaven/core/order/WeightDemand.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightDemand.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * What servers' weights are wanted for.
+ * Demand for weights.
  *
- * @param newestVersions newest named version by model
- * @param openItems items that wait or generate, by model
+ * @param newestVersions newest announced version by model
+ * @param openItems number of items that wait or generate, by model
  */
 public record WeightDemand(Map<String, Long> newestVersions, Map<String, Integer> openItems) {
   public WeightDemand {
--- a/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
@@ -16,26 +16,31 @@
 import org.passhaven.core.backend.ServerStart;
 
 /**
- * Decides which servers of a service are to hold the newest weights of which model. Models that
- * share a service get an equal part of its servers each, and more while many of their items wait:
- * each load takes a server's time, so loading every version of every model everywhere leaves all of
- * them late. A model keeps the servers that it has. Pure.
+ * Assigns models to the servers of each service, which then hold the newest weights of these
+ * models. Models that share a service get an equal part of its servers each, and more while many of
+ * their items wait: each load occupies a server for some time, so loading every version of every
+ * model on all servers would delay all of them. A model keeps the servers that hold its weights.
+ * Pure logic without I/O.
  */
 public final class WeightPlacement {
   private static final double ITEMS_PER_SLOT = 3.0;
   private final ToLongBiFunction<ServerEntry, String> heldVersion;
 
-  /** Creates the decision; {@code heldVersion} gives the version of a model at a server. */
+  /**
+   * Creates a placement.
+   *
+   * @param heldVersion returns the version of a model that a server holds
+   */
   public WeightPlacement(ToLongBiFunction<ServerEntry, String> heldVersion) {
     this.heldVersion = Objects.requireNonNull(heldVersion, "heldVersion");
   }
 
   /**
-   * Models that each server is to hold in their newest version.
+   * Returns the models that each server is to hold in their newest version.
    *
-   * @param servers servers that may be ordered
+   * @param servers servers that may receive orders
    * @param models models that are trained
-   * @param openItems items that wait or generate, by model
+   * @param openItems number of items that wait or generate, by model
    */
   public Map<ServerStart, Set<String>> place(
       Collection<ServerEntry> servers, Collection<String> models, Map<String, Integer> openItems) {
@@ -62,23 +67,24 @@
     }
     int equalPart = Math.max(1, service.size() / served.size());
     for (String model : served) {
-      grow(service, model, equalPart, placed);
+      addServers(service, model, equalPart, placed);
     }
     for (String model : served) {
-      grow(service, model, neededFor(service, openItems.getOrDefault(model, 0)), placed);
+      addServers(service, model, serversNeeded(service, openItems.getOrDefault(model, 0)), placed);
     }
   }
 
-  /** Servers that a model needs for its open items to end in a few rounds. */
-  private static int neededFor(List<ServerEntry> service, int openItems) {
+  /** Returns the number of servers that a model needs to process its open items in a few rounds. */
+  private static int serversNeeded(List<ServerEntry> service, int openItems) {
     double slots = service.stream().mapToInt(ServerEntry::slots).average().orElse(1);
     return (int) Math.ceil(openItems / (ITEMS_PER_SLOT * Math.max(1, slots)));
   }
 
-  /** Gives a model servers until it has {@code wanted}: those with the fewest models first. */
-  private void grow(
+  /** Adds servers to a model until it has {@code wanted}, those with the fewest models first. */
+  private void addServers(
       List<ServerEntry> service, String model, int wanted, Map<ServerStart, Set<String>> placed) {
-    long have = service.stream().filter(server -> modelsAt(server, placed).contains(model)).count();
+    long assigned =
+        service.stream().filter(server -> modelsAt(server, placed).contains(model)).count();
     service.stream()
         .filter(server -> server.versions().containsKey(model))
         .filter(server -> !modelsAt(server, placed).contains(model))
@@ -86,7 +92,7 @@
             Comparator.comparingInt((ServerEntry server) -> modelsAt(server, placed).size())
                 .thenComparingLong(server -> -heldVersion.applyAsLong(server, model))
                 .thenComparing(ServerEntry::start))
-        .limit(Math.max(0, wanted - have))
+        .limit(Math.max(0, wanted - assigned))
         .toList()
         .forEach(
             server -> placed.computeIfAbsent(server.start(), key -> new HashSet<>()).add(model));
--- a/core/src/main/java/org/passhaven/core/request/IntentTable.java
+++ b/core/src/main/java/org/passhaven/core/request/IntentTable.java
@@ -12,33 +12,40 @@
 import org.passhaven.protocol.RecordId;
 
 /**
- * Fold of one stream of intents: for each idempotency key, who may run its request and what it
- * answered.
+ * Replicated state of one stream of intents: for each idempotency key, which writer may run its
+ * request and what it answered.
  *
- * <p>Invariant: a key's request is sent only by the writer of its first folded intent that was not
- * withdrawn, so it runs at most once whoever else tries, also after a crash. Not thread-safe.
+ * <p>Invariant: a key's request is sent only by the writer of its first applied intent that was not
+ * withdrawn. It therefore runs at most once, also with concurrent attempts and after a crash. Not
+ * thread-safe.
  */
 public final class IntentTable {
   private static final String STREAM_PREFIX = "intents-";
-  private static final int MOST_KEYS = 20_000;
-
-  /** What is known of one key. */
+  private static final int MAX_KEYS = 20_000;
+
+  /**
+   * State of one key.
+   *
+   * @param holder id of the record that reserved the key
+   * @param requestDigest digest of the request, see {@link RequestDigest}
+   * @param answer recorded response; null until there is one
+   */
   public record Intent(RecordId holder, long requestDigest, LogRecord.IntentAnswered answer) {}
 
   private final WriterPositions writers = new WriterPositions();
   private final Map<String, Intent> intents = new LinkedHashMap<>();
 
-  /** Stream that holds the intents of a key. */
+  /** Returns the name of the stream that holds the intents of a key. */
   public static String streamOf(String key, int streams) {
     return STREAM_PREFIX + Math.floorMod(key.hashCode(), streams);
   }
 
-  /** Whether a stream holds intents. */
+  /** Returns whether a stream holds intents. */
   public static boolean isIntentStream(String stream) {
     return stream.startsWith(STREAM_PREFIX);
   }
 
-  /** Folds one record; returns whether it took effect. */
+  /** Applies one record and returns whether it took effect. */
   public boolean apply(LogEntry entry) {
     if (!writers.accept(entry.id())) {
       return false;
@@ -48,21 +55,21 @@
     }
     if (entry.record() instanceof LogRecord.IntentAnswered answered) {
       Intent known = intents.get(answered.key());
-      boolean first =
+      boolean isFirstAnswer =
           known != null && known.answer() == null && sameWriter(known.holder(), entry.id());
-      if (first) {
+      if (isFirstAnswer) {
         intents.put(answered.key(), new Intent(known.holder(), known.requestDigest(), answered));
       }
-      return first;
+      return isFirstAnswer;
     }
     if (entry.record() instanceof LogRecord.IntentWithdrawn withdrawn) {
       Intent known = intents.get(withdrawn.key());
-      boolean own =
+      boolean isOwnIntent =
           known != null && known.answer() == null && sameWriter(known.holder(), entry.id());
-      if (own) {
+      if (isOwnIntent) {
         intents.remove(withdrawn.key());
       }
-      return own;
+      return isOwnIntent;
     }
     return false;
   }
@@ -72,12 +79,12 @@
       return false;
     }
     intents.put(recorded.key(), new Intent(id, recorded.requestDigest(), null));
-    forgetOldest();
+    evictOldest();
     return true;
   }
 
-  private void forgetOldest() {
-    if (intents.size() > MOST_KEYS) {
+  private void evictOldest() {
+    if (intents.size() > MAX_KEYS) {
       intents.remove(intents.keySet().iterator().next());
     }
   }
@@ -86,26 +93,28 @@
     return first.writer().equals(second.writer()) && first.incarnation() == second.incarnation();
   }
 
-  /** What is known of a key. */
+  /** Returns the state of a key. */
   public Optional<Intent> find(String key) {
     return Optional.ofNullable(intents.get(key));
   }
 
-  /** Number of keys held. */
+  /** Returns the number of keys in the table. */
   public int size() {
     return intents.size();
   }
 
-  /** Encodable image; the same prefix of the stream gives the same image at every node. */
+  /**
+   * Serializable snapshot; the same prefix of the stream yields the same snapshot at every node.
+   */
   public record Snapshot(List<SnapshotWriter> writers, List<SnapshotIntent> intents) {}
 
-  /** Position of one writer. */
+  /** Position of one writer in the stream. */
   public record SnapshotWriter(NodeId node, WriterPositions.Position position) {}
 
-  /** One key. */
+  /** State of one key. */
   public record SnapshotIntent(String key, Intent intent) {}
 
-  /** Image for a snapshot. */
+  /** Returns a snapshot of this table. */
   public Snapshot toSnapshot() {
     return new Snapshot(
         writers.toMap().entrySet().stream()
@@ -116,7 +125,7 @@
             .toList());
   }
 
-  /** Table restored from a snapshot. */
+  /** Restores a table from a snapshot. */
   public static IntentTable fromSnapshot(Snapshot snapshot) {
     IntentTable table = new IntentTable();
     Map<NodeId, WriterPositions.Position> positions = new TreeMap<>();
--- a/core/src/main/java/org/passhaven/core/request/RateMeter.java
+++ b/core/src/main/java/org/passhaven/core/request/RateMeter.java
@@ -1,24 +1,27 @@
 package org.passhaven.core.request;
 
-/** Events a second, smoothed over some seconds, on the node's monotonic clock. Not thread-safe. */
+/**
+ * Moving average of the number of events per second. Times are in monotonic milliseconds. Not
+ * thread-safe.
+ */
 public final class RateMeter {
   private static final double MILLIS_PER_SECOND = 1_000.0;
   private static final double WINDOW_MILLIS = 4_000.0;
   private double perSecond;
   private long updatedAtMillis;
 
-  /** Creates a meter that has seen nothing. */
+  /** Creates a meter with a rate of zero. */
   public RateMeter(long nowMillis) {
     this.updatedAtMillis = nowMillis;
   }
 
-  /** One event happened. */
+  /** Counts one event. */
   public void mark(long nowMillis) {
     decay(nowMillis);
     perSecond += MILLIS_PER_SECOND / WINDOW_MILLIS;
   }
 
-  /** Events a second by now. */
+  /** Returns the current rate in events per second. */
   public double perSecond(long nowMillis) {
     decay(nowMillis);
     return perSecond;
--- a/core/src/main/java/org/passhaven/core/request/RetryBudget.java
+++ b/core/src/main/java/org/passhaven/core/request/RetryBudget.java
@@ -1,41 +1,42 @@
 package org.passhaven.core.request;
 
 /**
- * Bounds retries to a share of the load of a back-end group, so that a failing group is not buried
- * by them. Each first try earns a part of a retry; each retry spends a whole one. Not thread-safe.
+ * Limits retries to a fraction of the requests to a back-end group, so that retries don't overload
+ * a failing group. Each first attempt earns a part of a retry; each retry spends a whole one. Not
+ * thread-safe.
  */
 public final class RetryBudget {
-  /** Parts of one retry, in which earnings are counted. */
+  /** Number of parts of one retry; earnings are counted in parts. */
   public static final int PARTS_PER_RETRY = 1_000;
 
-  private final int earnedPerRequest;
-  private final long most;
+  private final int earnedPartsPerRequest;
+  private final long maxParts;
   private long parts;
 
   /**
    * Creates a full budget.
    *
-   * @param earnedPerRequest parts of a retry earned by a first try, such as 100 for one retry in
-   *     ten
-   * @param mostRetries most whole retries saved up
+   * @param earnedPartsPerRequest parts earned by a first attempt, such as 100 for one retry in ten
+   *     attempts
+   * @param maxRetries maximum number of saved retries
    */
-  public RetryBudget(int earnedPerRequest, int mostRetries) {
-    this.earnedPerRequest = earnedPerRequest;
-    this.most = (long) mostRetries * PARTS_PER_RETRY;
-    this.parts = most;
+  public RetryBudget(int earnedPartsPerRequest, int maxRetries) {
+    this.earnedPartsPerRequest = earnedPartsPerRequest;
+    this.maxParts = (long) maxRetries * PARTS_PER_RETRY;
+    this.parts = maxParts;
   }
 
-  /** A first try was sent. */
+  /** Records a first attempt. */
   public void onRequest() {
-    parts = Math.min(most, parts + earnedPerRequest);
+    parts = Math.min(maxParts, parts + earnedPartsPerRequest);
   }
 
-  /** Whether a retry is left. */
+  /** Returns whether a retry is available. */
   public boolean hasRetry() {
     return parts >= PARTS_PER_RETRY;
   }
 
-  /** Spends one retry if there is one. */
+  /** Spends one retry and returns true if one is available. */
   public boolean trySpend() {
     if (parts < PARTS_PER_RETRY) {
       return false;
--- a/core/src/main/java/org/passhaven/core/request/package-info.java
+++ b/core/src/main/java/org/passhaven/core/request/package-info.java
@@ -1,2 +1,2 @@
-/** Outcomes, retry budgets, admission and durable intents of callers' requests. */
+/** Retry budgets, rate limits and durable intents of callers' requests. */
 package org.passhaven.core.request;
--- a/core/src/test/java/org/passhaven/core/membership/MembershipTableTest.java
+++ b/core/src/test/java/org/passhaven/core/membership/MembershipTableTest.java
@@ -25,16 +25,16 @@
   }
 
   @Test
-  void silentMemberIsSuspectedAndThenDead() {
+  void anUnreachableMemberIsSuspectedAndThenDead() {
     table.onMessage(state("b", 1, 5, Status.ALIVE), List.of(), 0);
     table.onUnreachable(B, 100);
-    assertThat("a suspect still counts", alive(), hasItem(B));
+    assertThat("a suspect still counts as alive", alive(), hasItem(B));
     table.onPeriod(100 + 5_000);
     assertThat(alive(), not(hasItem(B)));
   }
 
   @Test
-  void suspectThatSpeaksUpIsAlive() {
+  void aSuspectThatSendsAHigherHeartbeatIsAlive() {
     table.onMessage(state("b", 1, 5, Status.ALIVE), List.of(), 0);
     table.onUnreachable(B, 100);
     table.onMessage(state("b", 1, 6, Status.ALIVE), List.of(), 200);
@@ -43,28 +43,28 @@
   }
 
   @Test
-  void deadMemberThatWakesComesBack() {
+  void aDeadMemberThatSendsAHeartbeatIsAliveAgain() {
     table.onMessage(state("b", 1, 5, Status.DEAD), List.of(), 0);
     table.onMessage(state("b", 1, 9, Status.ALIVE), List.of(), 10);
     assertThat(alive(), hasItem(B));
   }
 
   @Test
-  void oldNewsDoesNotReplaceNewer() {
+  void anUpdateOfAnEarlierIncarnationIsIgnored() {
     table.onMessage(state("b", 2, 1, Status.ALIVE), List.of(), 0);
     table.onMessage(state("c", 1, 1, Status.ALIVE), List.of(state("b", 1, 50, Status.DEAD)), 10);
     assertThat(alive(), hasItem(B));
   }
 
   @Test
-  void newsOfOwnDeathIsRefuted() {
+  void suspicionOfThisNodeIsRefuted() {
     table.onMessage(state("b", 1, 1, Status.ALIVE), List.of(state("a", 1, 7, Status.SUSPECT)), 0);
     assertThat(table.self().heartbeat(), equalTo(8L));
     assertThat(table.takeNews().stream().map(MemberState::node).toList(), hasItem(new NodeId("a")));
   }
 
   @Test
-  void newsIsSentABoundedNumberOfTimes() {
+  void anUpdateIsSentABoundedNumberOfTimes() {
     table.onMessage(state("b", 1, 1, Status.ALIVE), List.of(), 0);
     int sends = 0;
     for (int i = 0; i < 100; i++) {
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void leavingMemberTakesNoNewWork() {
+  void aLeavingMemberAcceptsNoNewWork() {
     table.onMessage(state("b", 1, 2, Status.LEAVING), List.of(), 0);
     assertThat(alive(), not(hasItem(B)));
   }
--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
@@ -25,14 +25,14 @@
     return new WeightDemand(newest, Map.of());
   }
 
-  private static List<String> names(List<VersionOrderPlanner.Wanted> wanted) {
-    return wanted.stream()
-        .map(one -> one.server().start().id() + " " + one.model() + " " + one.version())
+  private static List<String> names(List<VersionOrderPlanner.Wanted> loads) {
+    return loads.stream()
+        .map(load -> load.server().start().id() + " " + load.model() + " " + load.version())
         .toList();
   }
 
   @Test
-  void onlyAsManyServersLoadAtOnceAsAllowed() {
+  void concurrentLoadsAreLimited() {
     List<ServerEntry> servers = List.of(server("a", 1, 1), server("b", 1, 1), server("c", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L);
     assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2", "b m 2"));
@@ -43,14 +43,14 @@
   }
 
   @Test
-  void aLargeServiceLoadsAtAShareOfItsServers() {
+  void aLargeServiceLoadsOnAFractionOfItsServers() {
     List<ServerEntry> servers =
         IntStream.range(0, 24).mapToObj(i -> server(String.format("s%02d", i), 1, 1)).toList();
     assertThat(planner.begin(servers, demand(Map.of("m", 2L)), 0), hasSize(7));
   }
 
   @Test
-  void theModelThatFewestServersHaveGoesFirst() {
+  void theModelOnTheFewestServersIsLoadedFirst() {
     List<ServerEntry> servers = List.of(server("a", 2, 1), server("b", 2, 1), server("c", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L, "n", 2L);
     WeightDemand everywhere = new WeightDemand(newest, Map.of("m", 72, "n", 72));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aServerThatFailedIsLeftAloneForAWhile() {
+  void aServerIsNotRetriedBeforeTheRetryTime() {
     List<ServerEntry> servers = List.of(server("a", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L);
     planner.begin(servers, demand(newest), 0);
@@ -68,21 +68,21 @@
   }
 
   @Test
-  void nothingIsNeededOnceAllHaveTheNewest() {
+  void noLoadIsNeededOnceAllServersHaveTheNewestVersion() {
     List<ServerEntry> servers = List.of(server("a", 2, 1));
     assertThat(planner.isNeeded(servers, demand(Map.of("m", 2L)), 0), is(false));
     assertThat(planner.isNeeded(servers, demand(Map.of("m", 3L)), 0), is(true));
   }
 
   @Test
-  void aServerThatLeavesIsNotOrdered() {
+  void aLeavingServerGetsNoLoad() {
     ServerEntry leaving =
         new ServerEntry(ServerStart.of("a"), "llm", "a:1", "z", 8, false, Map.of("m", 1L));
     assertThat(planner.begin(List.of(leaving), demand(Map.of("m", 2L)), 0), empty());
   }
 
   @Test
-  void anotherServerTakesThePlaceOfOneThatGivesNoAnswer() {
+  void anUnreachableServerIsReplacedByAnother() {
     List<ServerEntry> servers = List.of(server("a", 1, 1), server("b", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L, "n", 1L);
     assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2"));
--- a/core/src/test/java/org/passhaven/core/order/WeightPlacementTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightPlacementTest.java
@@ -35,7 +35,7 @@
     return servers;
   }
 
-  private static List<ServerEntry> fresh(int count) {
+  private static List<ServerEntry> serversWithFirstVersions(int count) {
     List<ServerEntry> servers = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       servers.add(server("s" + i, 1, 1, 1));
@@ -44,8 +44,9 @@
   }
 
   @Test
-  void modelsShareTheServersEquallyAndApart() {
-    Map<ServerStart, Set<String>> placed = placement.place(fresh(6), MODELS, Map.of());
+  void modelsGetEqualAndDisjointShares() {
+    Map<ServerStart, Set<String>> placed =
+        placement.place(serversWithFirstVersions(6), MODELS, Map.of());
     for (String model : MODELS) {
       assertThat(serversOf(model, placed).size(), equalTo(2));
     }
@@ -54,7 +55,8 @@
 
   @Test
   void theOnlyTrainedModelGetsEveryServer() {
-    Map<ServerStart, Set<String>> placed = placement.place(fresh(6), List.of("m"), Map.of());
+    Map<ServerStart, Set<String>> placed =
+        placement.place(serversWithFirstVersions(6), List.of("m"), Map.of());
     assertThat(serversOf("m", placed).size(), equalTo(6));
   }
 
@@ -75,7 +77,7 @@
   }
 
   @Test
-  void aModelWhoseItemsPileUpGetsMoreServersAndTheOthersKeepTheirs() {
+  void aModelWithManyOpenItemsGetsMoreServersAndTheOthersKeepTheirs() {
     List<ServerEntry> servers =
         List.of(
             server("a", 7, 1, 1),
@@ -92,7 +94,7 @@
   }
 
   @Test
-  void whatALostServerHeldGoesToAnother() {
+  void aLostServerIsReplacedByAnother() {
     List<ServerEntry> servers =
         List.of(
             server("b", 7, 1, 1),
@@ -110,8 +112,9 @@
   }
 
   @Test
-  void fewerServersThanModelsHoldSeveralEach() {
-    Map<ServerStart, Set<String>> placed = placement.place(fresh(2), MODELS, Map.of());
+  void serversHoldSeveralModelsIfThereAreFewerServersThanModels() {
+    Map<ServerStart, Set<String>> placed =
+        placement.place(serversWithFirstVersions(2), MODELS, Map.of());
     assertThat(
         placed.get(ServerStart.of("s0")).size() + placed.get(ServerStart.of("s1")).size(),
         equalTo(3));
@@ -119,7 +122,7 @@
   }
 
   @Test
-  void serversThatLeaveOrServeNoModelGetNothing() {
+  void serversThatLeaveOrServeNoModelGetNoModel() {
     ServerEntry leaving =
         new ServerEntry(ServerStart.of("x"), "llm", "x:1", "z", 8, false, Map.of("k", 1L));
     ServerEntry portal =
--- a/core/src/test/java/org/passhaven/core/request/IntentTableTest.java
+++ b/core/src/test/java/org/passhaven/core/request/IntentTableTest.java
@@ -27,14 +27,14 @@
   }
 
   @Test
-  void firstIntentOfAKeyHolds() {
+  void theFirstIntentOfAKeyHoldsIt() {
     assertThat("first", table.apply(entry(A, intent())));
     assertThat("second", !table.apply(entry(B, intent())));
     assertThat(table.find("k").orElseThrow().holder().writer(), equalTo(A));
   }
 
   @Test
-  void onlyTheHolderWithdraws() {
+  void onlyTheHolderMayWithdraw() {
     table.apply(entry(A, intent()));
     assertThat("other", !table.apply(entry(B, new LogRecord.IntentWithdrawn("k"))));
     assertThat("holder", table.apply(entry(A, new LogRecord.IntentWithdrawn("k"))));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void answeredKeyStaysTaken() {
+  void anAnsweredKeyIsNotReleased() {
     table.apply(entry(A, intent()));
     table.apply(entry(A, new LogRecord.IntentAnswered("k", 200, "", new byte[] {1})));
     assertThat(
@@ -51,20 +51,20 @@
   }
 
   @Test
-  void holderOfAnEarlierStartIsAnother() {
+  void anEarlierIncarnationIsAnotherHolder() {
     table.apply(entry(A, intent()));
     LogEntry later = new LogEntry(new RecordId(A, 2, 1), new LogRecord.IntentWithdrawn("k"));
-    assertThat("an earlier start's intent is withdrawn", !table.apply(later));
+    assertThat("an earlier incarnation's intent is withdrawn", !table.apply(later));
   }
 
   @Test
-  void snapshotKeepsHoldersAndCopies() {
+  void aSnapshotKeepsHoldersAndWriterPositions() {
     LogEntry first = entry(A, intent());
     table.apply(first);
     IntentTable restored =
         IntentTable.fromSnapshot(
             Codec.decode(Codec.encode(table.toSnapshot()), IntentTable.Snapshot.class));
-    assertThat("copy", !restored.apply(first));
+    assertThat("duplicate", !restored.apply(first));
     assertThat(restored.find("k").orElseThrow().answer(), nullValue());
   }
 }
--- a/core/src/test/java/org/passhaven/core/request/LimitsTest.java
+++ b/core/src/test/java/org/passhaven/core/request/LimitsTest.java
@@ -8,20 +8,20 @@
 
 class LimitsTest {
   @Test
-  void retriesAreAShareOfTheLoad() {
+  void retriesAreLimitedToAFractionOfTheRequests() {
     RetryBudget budget = new RetryBudget(100, 2);
-    assertThat("first saved up", budget.trySpend());
-    assertThat("second saved up", budget.trySpend());
-    assertThat("spent", !budget.trySpend());
+    assertThat("first saved retry", budget.trySpend());
+    assertThat("second saved retry", budget.trySpend());
+    assertThat("budget spent", !budget.trySpend());
     for (int i = 0; i < 10; i++) {
       budget.onRequest();
     }
-    assertThat("earned one", budget.trySpend());
-    assertThat("and not two", !budget.trySpend());
+    assertThat("one retry earned", budget.trySpend());
+    assertThat("only one retry earned", !budget.trySpend());
   }
 
   @Test
-  void callerOverItsRateIsToldWhenToComeBack() {
+  void acquireReturnsTheTimeUntilTheNextToken() {
     RateLimiter limiter = new RateLimiter(10, 1, 0);
     assertThat(limiter.acquire(0), equalTo(0L));
     assertThat(limiter.acquire(0), equalTo(100L));
--- a/core/src/test/java/org/passhaven/core/request/RateMeterTest.java
+++ b/core/src/test/java/org/passhaven/core/request/RateMeterTest.java
@@ -8,7 +8,7 @@
 
 class RateMeterTest {
   @Test
-  void aSteadyRateIsTold() {
+  void aSteadyRateIsMeasured() {
     RateMeter meter = new RateMeter(0);
     for (long now = 0; now <= 60_000; now += 50) {
       meter.mark(now);
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aRateThatStopsIsForgotten() {
+  void theRateDecaysWhenEventsStop() {
     RateMeter meter = new RateMeter(0);
     for (long now = 0; now <= 20_000; now += 50) {
       meter.mark(now);
