--- a/core/src/main/java/org/passhaven/core/backend/PeakUse.java
+++ b/core/src/main/java/org/passhaven/core/backend/PeakUse.java
@@ -1,25 +1,25 @@
 package org.passhaven.core.backend;
 
 /**
- * Largest number of requests that were in progress at once within the last seconds. Times in
- * monotonic milliseconds. Not thread-safe.
+ * Tracks the peak number of concurrent requests over a recent time window. Times are in monotonic
+ * milliseconds. Not thread-safe.
  */
 public final class PeakUse {
   /**
-   * Time for which a peak is kept. Runs send their requests in bursts some seconds apart; a peak
-   * that was forgotten between two bursts would give up connections that the next one needs.
+   * How long a peak is kept. Runs send requests in bursts several seconds apart; expiring the peak
+   * between bursts would drop connections that the next burst needs.
    */
-  static final long HELD_MILLIS = 10_000;
+  static final long RETENTION_MILLIS = 10_000;
 
-  /** Before any time that is given, with no overflow when subtracted. */
-  private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+  /** Earlier than any real timestamp, but safe to subtract without overflow. */
+  private static final long DISTANT_PAST_MILLIS = Long.MIN_VALUE / 2;
 
   private int peak;
-  private long peakAtMillis = LONG_AGO_MILLIS;
+  private long peakAtMillis = DISTANT_PAST_MILLIS;
 
-  /** Notes the present number of requests in progress and returns the peak. */
+  /** Records the current number of requests in progress and returns the peak. */
   public int mark(int inProgress, long nowMillis) {
-    if (inProgress >= peak || nowMillis - peakAtMillis > HELD_MILLIS) {
+    if (inProgress >= peak || nowMillis - peakAtMillis > RETENTION_MILLIS) {
       peak = inProgress;
       peakAtMillis = nowMillis;
     }
--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -5,12 +5,12 @@
 import java.util.Objects;
 
 /**
- * One start of a server, as it lists itself.
+ * The registration of one server incarnation, as the server published it.
  *
- * @param start the start that this entry is of
- * @param slots requests that it works on at once
- * @param ready whether it takes new work
- * @param versions weight version by model; empty for servers without models
+ * @param start incarnation of the server that published this entry
+ * @param slots number of requests that the server processes concurrently
+ * @param ready whether the server accepts new requests
+ * @param versions weight version by model; empty if the server has no models
  */
 public record ServerEntry(
     ServerStart start,
@@ -28,14 +28,17 @@
     versions = Map.copyOf(versions);
   }
 
-  /** The same entry with none of the versions lower than given; one start never goes back. */
-  public ServerEntry withAtLeast(Map<String, Long> told) {
+  /**
+   * Returns this entry with each version raised to at least the given one; versions never decrease
+   * within one incarnation.
+   */
+  public ServerEntry withAtLeast(Map<String, Long> minVersions) {
     Map<String, Long> merged = new HashMap<>(versions);
-    told.forEach((model, version) -> merged.merge(model, version, Math::max));
+    minVersions.forEach((model, version) -> merged.merge(model, version, Math::max));
     return new ServerEntry(start, service, address, zone, slots, ready, merged);
   }
 
-  /** Weight version of a model; zero if the server does not say that it serves it. */
+  /** Returns the weight version of a model, or zero if the server does not report serving it. */
   public long versionOf(String model) {
     return versions.getOrDefault(model, 0L);
   }
--- a/core/src/main/java/org/passhaven/core/backend/ServerEstimate.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEstimate.java
@@ -1,14 +1,14 @@
 package org.passhaven.core.backend;
 
 /**
- * Load and speed of a server, from this node's own requests and from other nodes' reports.
+ * Estimated load and speed of a server, derived from this node's requests and other nodes' reports.
  *
- * @param placesTaken requests of all nodes at the server, this node's included
- * @param relativePace time of the same work relative to the median server of its service; 1 if
+ * @param placesTaken requests in progress at the server from all nodes, including this one
+ * @param relativePace time for the same work relative to the median server of the service; 1 if
  *     unknown
- * @param ageMillis age of the oldest report that went into it
+ * @param ageMillis age of the oldest report used for the estimate
  */
 public record ServerEstimate(int placesTaken, double relativePace, long ageMillis) {
-  /** Estimate of a server of which nothing is known. */
+  /** Estimate for a server without any reports. */
   public static final ServerEstimate UNKNOWN = new ServerEstimate(0, 1, Long.MAX_VALUE);
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
@@ -5,92 +5,95 @@
 import java.util.Set;
 
 /**
- * What this node has seen of servers: its own requests there, failures, and how long answers take.
- * Times in monotonic milliseconds. Not thread-safe.
+ * Tracks the requests in progress, failures and response latency of each server, as observed by
+ * this node. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ServerHealth {
-  private static final long FIRST_AVOIDED_MILLIS = 200;
-  private static final long MOST_AVOIDED_MILLIS = 3_000;
-  private static final double LATENCY_WEIGHT = 0.2;
-  private static final long LATENCY_TRUSTED_MILLIS = 10_000;
-  private final Map<ServerStart, Seen> seen = new HashMap<>();
+  private static final long INITIAL_BACKOFF_MILLIS = 200;
+  private static final long MAX_BACKOFF_MILLIS = 3_000;
+  private static final double LATENCY_SMOOTHING_FACTOR = 0.2;
+  private static final long LATENCY_EXPIRY_MILLIS = 10_000;
+  private final Map<ServerStart, ServerStats> statsByServer = new HashMap<>();
 
-  private static final class Seen {
+  private static final class ServerStats {
     int inProgress;
-    int failuresInRow;
-    long avoidUntil = Long.MIN_VALUE;
+    int consecutiveFailures;
+    long avoidedUntilMillis = Long.MIN_VALUE;
     double latencyMillis;
-    long latencyAt = Long.MIN_VALUE;
+    long latencyUpdatedAtMillis = Long.MIN_VALUE;
   }
 
-  private Seen of(ServerStart start) {
-    return seen.computeIfAbsent(start, key -> new Seen());
+  private ServerStats statsOf(ServerStart start) {
+    return statsByServer.computeIfAbsent(start, key -> new ServerStats());
   }
 
-  /** Forgets servers that are not listed any more. */
+  /** Removes servers that are no longer listed, except those with requests in progress. */
   public void retain(Set<ServerStart> starts) {
-    seen.entrySet().removeIf(e -> !starts.contains(e.getKey()) && e.getValue().inProgress == 0);
+    statsByServer
+        .entrySet()
+        .removeIf(e -> !starts.contains(e.getKey()) && e.getValue().inProgress == 0);
   }
 
-  /** A request was sent to a server. */
+  /** Records that a request was sent to a server. */
   public void onSent(ServerStart start) {
-    of(start).inProgress++;
+    statsOf(start).inProgress++;
   }
 
-  /** A request at a server has ended, whatever its outcome. */
+  /** Records that a request at a server ended, whatever its outcome. */
   public void onEnded(ServerStart start) {
-    Seen server = of(start);
+    ServerStats server = statsOf(start);
     server.inProgress = Math.max(0, server.inProgress - 1);
   }
 
-  /** A server answered after {@code tookMillis}. */
+  /** Records a successful response after {@code tookMillis} and ends the backoff of the server. */
   public void onSuccess(ServerStart start, long tookMillis, long nowMillis) {
-    Seen server = of(start);
-    server.failuresInRow = 0;
-    server.avoidUntil = Long.MIN_VALUE;
-    boolean stale = nowMillis - server.latencyAt > LATENCY_TRUSTED_MILLIS;
+    ServerStats server = statsOf(start);
+    server.consecutiveFailures = 0;
+    server.avoidedUntilMillis = Long.MIN_VALUE;
+    boolean stale = nowMillis - server.latencyUpdatedAtMillis > LATENCY_EXPIRY_MILLIS;
     server.latencyMillis =
-        server.latencyAt == Long.MIN_VALUE || stale
+        server.latencyUpdatedAtMillis == Long.MIN_VALUE || stale
             ? tookMillis
-            : server.latencyMillis + LATENCY_WEIGHT * (tookMillis - server.latencyMillis);
-    server.latencyAt = nowMillis;
+            : server.latencyMillis + LATENCY_SMOOTHING_FACTOR * (tookMillis - server.latencyMillis);
+    server.latencyUpdatedAtMillis = nowMillis;
   }
 
-  /** A request failed on the way to a server or in it. */
+  /** Records a failed request and avoids the server with exponential backoff. */
   public void onFailure(ServerStart start, long nowMillis) {
-    Seen server = of(start);
-    int doublings = Math.min(server.failuresInRow, 4);
-    server.failuresInRow++;
-    avoid(start, Math.min(MOST_AVOIDED_MILLIS, FIRST_AVOIDED_MILLIS << doublings), nowMillis);
+    ServerStats server = statsOf(start);
+    int doublings = Math.min(server.consecutiveFailures, 4);
+    server.consecutiveFailures++;
+    avoid(start, Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << doublings), nowMillis);
   }
 
-  /** Leaves a server out for a time, unless there is no other. */
+  /** Avoids a server for a time; it is still used if there is no other. */
   public void avoid(ServerStart start, long forMillis, long nowMillis) {
-    Seen server = of(start);
-    server.avoidUntil = Math.max(server.avoidUntil, nowMillis + forMillis);
+    ServerStats server = statsOf(start);
+    server.avoidedUntilMillis = Math.max(server.avoidedUntilMillis, nowMillis + forMillis);
   }
 
-  /** Whether a server is better left out now. */
+  /** Returns whether a server should be avoided now. */
   public boolean isAvoided(ServerStart start, long nowMillis) {
-    Seen server = seen.get(start);
-    return server != null && nowMillis < server.avoidUntil;
+    ServerStats server = statsByServer.get(start);
+    return server != null && nowMillis < server.avoidedUntilMillis;
   }
 
-  /** Servers of which something is known. */
+  /** Returns all servers with recorded observations. */
   public Set<ServerStart> starts() {
-    return Set.copyOf(seen.keySet());
+    return Set.copyOf(statsByServer.keySet());
   }
 
-  /** Requests of this node at a server. */
+  /** Returns the number of requests of this node in progress at a server. */
   public int inProgress(ServerStart start) {
-    Seen server = seen.get(start);
+    ServerStats server = statsByServer.get(start);
     return server == null ? 0 : server.inProgress;
   }
 
-  /** Smoothed time of answers; zero if it is unknown or old. */
+  /** Returns the smoothed response latency, or zero if it is unknown or stale. */
   public double latencyMillis(ServerStart start, long nowMillis) {
-    Seen server = seen.get(start);
-    boolean known = server != null && nowMillis - server.latencyAt <= LATENCY_TRUSTED_MILLIS;
-    return known && server.latencyAt != Long.MIN_VALUE ? server.latencyMillis : 0;
+    ServerStats server = statsByServer.get(start);
+    boolean known =
+        server != null && nowMillis - server.latencyUpdatedAtMillis <= LATENCY_EXPIRY_MILLIS;
+    return known && server.latencyUpdatedAtMillis != Long.MIN_VALUE ? server.latencyMillis : 0;
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
@@ -9,49 +9,49 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses a server for a request: the least used, near ones and fast ones first; one that failed
- * lately only if there is no other. Of those alike it takes the one that comes first, so each node
- * names them in an order of its own: nodes that know nothing of each other would else all send to
- * the same server.
+ * Chooses the server with the lowest cost for a request. The cost grows with the load and is higher
+ * for distant and slow servers; a server that failed recently is used only if there is no other.
+ * Ties go to the first server in the given order, so each node must pass its own order: otherwise
+ * all nodes would send to the same server.
  */
 public final class ServerPicker {
   private static final double OTHER_ZONE_COST = 0.15;
-  private static final double SLOW_FACTOR = 2.0;
+  private static final double SLOW_LATENCY_FACTOR = 2.0;
   private static final double SLOW_COST = 0.6;
   private final ServerHealth health;
   private final Predicate<ServerEntry> isNear;
 
-  /** Creates a picker for a node in {@code zone}. */
+  /** Creates a picker that prefers servers in {@code zone}. */
   public ServerPicker(ServerHealth health, String zone) {
     this(health, server -> server.zone().equals(zone));
   }
 
-  /** Creates a picker that prefers the servers that are near. */
+  /** Creates a picker that prefers servers for which {@code isNear} holds. */
   public ServerPicker(ServerHealth health, Predicate<ServerEntry> isNear) {
     this.health = Objects.requireNonNull(health, "health");
     this.isNear = Objects.requireNonNull(isNear, "isNear");
   }
 
   /**
-   * The server to send to; empty if there is none but the excluded ones.
+   * Returns the server to send to, or empty if all servers are excluded.
    *
    * @param servers in this node's order of preference
    */
   public Optional<ServerEntry> pick(
       Collection<ServerEntry> servers, Set<ServerStart> excluded, long nowMillis) {
-    List<ServerEntry> open =
+    List<ServerEntry> allowed =
         servers.stream().filter(server -> !excluded.contains(server.start())).toList();
-    List<ServerEntry> sound =
-        open.stream().filter(server -> !health.isAvoided(server.start(), nowMillis)).toList();
-    List<ServerEntry> candidates = sound.isEmpty() ? open : sound;
+    List<ServerEntry> healthy =
+        allowed.stream().filter(server -> !health.isAvoided(server.start(), nowMillis)).toList();
+    List<ServerEntry> candidates = healthy.isEmpty() ? allowed : healthy;
     double fastest = fastestMillis(candidates, nowMillis);
     return candidates.stream()
         .min(Comparator.comparingDouble(server -> cost(server, fastest, nowMillis)));
   }
 
   /**
-   * Whether a server is good now: it did not fail lately, has a place that this node does not use,
-   * and is not slow compared with its peers.
+   * Returns whether a server is a good choice now: it did not fail recently, has a slot that this
+   * node does not use, and is not slow compared with its peers.
    */
   public boolean isGood(ServerEntry server, Collection<ServerEntry> peers, long nowMillis) {
     return !health.isAvoided(server.start(), nowMillis)
@@ -69,7 +69,7 @@
 
   private boolean isSlow(ServerEntry server, double fastestMillis, long nowMillis) {
     return fastestMillis > 0
-        && health.latencyMillis(server.start(), nowMillis) > SLOW_FACTOR * fastestMillis;
+        && health.latencyMillis(server.start(), nowMillis) > SLOW_LATENCY_FACTOR * fastestMillis;
   }
 
   private double cost(ServerEntry server, double fastestMillis, long nowMillis) {
--- a/core/src/main/java/org/passhaven/core/backend/ServerStart.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerStart.java
@@ -4,12 +4,13 @@
 import java.util.Objects;
 
 /**
- * One start of a server. A server may start again under the id that it had; what was known of the
- * start before (weights, prompts, load, orders taken, connections) then says nothing of it.
+ * Identifies one incarnation of a server. A restarted server may keep its id, but the state known
+ * of the previous incarnation (weights, cached prompts, load, accepted orders, connections) does
+ * not apply to the new one.
  *
- * @param id name under which the server lists itself, and by which requests name it
- * @param bornMillis time of day of the start as the server tells it, in milliseconds since 1970;
- *     zero where servers tell none and have a new id after each start
+ * @param id name under which the server is listed and addressed
+ * @param bornMillis start time reported by the server, in milliseconds since 1970; zero if servers
+ *     report none and get a new id after each start
  */
 public record ServerStart(String id, long bornMillis) implements Comparable<ServerStart> {
   private static final Comparator<ServerStart> ORDER =
@@ -18,21 +19,21 @@
   public ServerStart {
     Objects.requireNonNull(id, "id");
     if (bornMillis < 0) {
-      throw new IllegalArgumentException("bornMillis of " + id + " is negative");
+      throw new IllegalArgumentException("start time of server " + id + " must not be negative");
     }
   }
 
-  /** The start of a server that tells no time of it. */
+  /** Returns the incarnation of a server that does not report its start time. */
   public static ServerStart of(String id) {
     return new ServerStart(id, 0);
   }
 
-  /** Whether the server tells when it started. */
+  /** Returns whether the server reports its start time. */
   public boolean isBornTold() {
     return bornMillis > 0;
   }
 
-  /** Whether {@code other} is a later start of the same server. */
+  /** Returns whether {@code other} is a later incarnation of the same server. */
   public boolean isFollowedBy(ServerStart other) {
     return id.equals(other.id) && bornMillis < other.bornMillis;
   }
--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -14,41 +14,45 @@
 import org.passhaven.core.placement.Rendezvous;
 
 /**
- * The servers of a service that a node sends to. Each node uses a few, so that its connections stay
- * in use and each server has few connections; each server is used by about as many nodes as any
- * other. The subsets are a function of the nodes and servers: all nodes that see the same ones
- * compute the same subsets.
+ * The subset of a service's servers that one node sends to. Subsets are small, so that connections
+ * are reused and each server has few of them, and they spread the nodes evenly over the servers.
+ * They depend only on the nodes and servers, so all nodes with the same view compute the same
+ * subsets.
  *
- * @param byPreference all servers: those of the subset, the preferred one first, then those outside
+ * @param byPreference all servers: those in the subset in order of preference, then those outside
  *     it, near ones first
- * @param size how many of them are in the subset
+ * @param size number of servers in the subset
  */
 public record ServerSubset(List<ServerEntry> byPreference, int size) {
-  /** Smallest subset: of three servers one remains good if one is slow and one is lost. */
+  /** Minimum subset size: with three servers, one is left if one is slow and one is lost. */
   static final int MIN_SERVERS = 3;
 
   /**
-   * Fewest nodes that share a server. Callers use some nodes more than others, which evens out only
-   * among several nodes.
+   * Minimum number of nodes that share a server. Callers load the nodes unevenly, which averages
+   * out only over several nodes.
    */
   static final int MIN_NODES_PER_SERVER = 8;
 
-  /** Places that a subset has for each request in progress: other nodes send to its servers too. */
-  static final int PLACES_PER_REQUEST = 4;
+  /** Slots in the subset for each request in progress; the rest is for other nodes. */
+  static final int SLOTS_PER_REQUEST = 4;
 
   public ServerSubset {
     byPreference = List.copyOf(byPreference);
     if (size < 0 || size > byPreference.size()) {
       throw new IllegalArgumentException(
-          "a subset of " + size + " among " + byPreference.size() + " servers");
+          "subset size "
+              + size
+              + " must be from 0 to "
+              + byPreference.size()
+              + " (number of servers)");
     }
   }
 
   /**
-   * The subset of one node.
+   * Computes the subset of one node.
    *
-   * @param nodes live nodes; the node itself counts as one whether or not it is among them
-   * @param servers servers of one service that take new work
+   * @param nodes live nodes; {@code self} is added if missing
+   * @param servers servers of one service that accept new requests
    */
   public static ServerSubset of(
       Member self, Collection<Member> nodes, Collection<ServerEntry> servers) {
@@ -62,12 +66,12 @@
         new ArrayList<>(new SubsetRounds(all, servers).choose(self.name(), size));
     servers.stream()
         .filter(server -> !ordered.contains(server))
-        .sorted(preferenceOf(self))
+        .sorted(preferenceOrderOf(self))
         .forEachOrdered(ordered::add);
     return new ServerSubset(ordered, size);
   }
 
-  /** Whether two lists of servers, each ordered by id, result in the same subsets. */
+  /** Returns whether two lists of servers, each ordered by id, result in the same subsets. */
   public static boolean giveSameSubsets(List<ServerEntry> servers, List<ServerEntry> others) {
     if (servers.size() != others.size()) {
       return false;
@@ -86,7 +90,7 @@
     return true;
   }
 
-  /** The same servers with their newest entries. */
+  /** Returns this subset with each entry replaced by its newest version. */
   public ServerSubset withEntries(Collection<ServerEntry> newest) {
     Map<ServerStart, ServerEntry> byStart =
         newest.stream().collect(Collectors.toMap(ServerEntry::start, Function.identity()));
@@ -95,13 +99,13 @@
         size);
   }
 
-  /** Size of each node's subset, given the numbers of nodes and servers. */
+  /** Returns the size of each node's subset for the given numbers of nodes and servers. */
   static int sizeFor(int nodes, int servers) {
     int shared = (servers * MIN_NODES_PER_SERVER + nodes - 1) / Math.max(1, nodes);
     return Math.min(servers, Math.max(MIN_SERVERS, shared));
   }
 
-  private static Comparator<ServerEntry> preferenceOf(Member node) {
+  private static Comparator<ServerEntry> preferenceOrderOf(Member node) {
     return Comparator.comparing((ServerEntry server) -> !server.zone().equals(node.zone()))
         .thenComparing(
             server -> Rendezvous.weight(node.name(), server.start().toString()),
@@ -110,73 +114,75 @@
   }
 
   /**
-   * This subset with the first choice of an earlier one if that is still in it: when only nodes
-   * have changed, the connection to the first choice stays in use.
+   * Returns this subset with the first choice of an earlier subset moved to the front, if it is
+   * still a member. This keeps the connection to the first choice in use when only nodes have
+   * changed.
    */
   public ServerSubset keepingFirstOf(ServerSubset earlier) {
     if (earlier.byPreference.isEmpty()) {
       return this;
     }
     List<ServerStart> starts = byPreference.stream().map(ServerEntry::start).toList();
-    int place = starts.indexOf(earlier.byPreference.get(0).start());
-    if (place < 0 || place >= size) {
+    int index = starts.indexOf(earlier.byPreference.get(0).start());
+    if (index < 0 || index >= size) {
       return this;
     }
     List<ServerEntry> kept = new ArrayList<>(byPreference);
-    kept.add(0, kept.remove(place));
+    kept.add(0, kept.remove(index));
     return new ServerSubset(kept, size);
   }
 
   /**
-   * This subset for a node with a given load: with as many servers as its requests need, and
-   * rotated so that they are used evenly. A node with few requests keeps its first choice, so that
-   * one connection stays in use.
+   * Returns this subset adapted to the load of the node: extended to enough servers for its
+   * requests and rotated to use them evenly. A node with few requests keeps its first choice and so
+   * reuses one connection.
    *
-   * @param inProgress most requests that the node lately had in progress at once
-   * @param turn requests that the node has sent so far; selects the rotation
+   * @param inProgress recent peak of requests in progress at the node
+   * @param turn number of requests sent by the node so far; selects the rotation
    */
   public ServerSubset forUse(int inProgress, int turn) {
-    long needed = (long) inProgress * PLACES_PER_REQUEST;
-    int enough = serversWith(needed);
-    if (enough <= MIN_SERVERS) {
+    long needed = (long) inProgress * SLOTS_PER_REQUEST;
+    int neededServers = serversForSlots(needed);
+    if (neededServers <= MIN_SERVERS) {
       return this;
     }
-    int used = Math.max(size, enough);
-    List<ServerEntry> inTurn = new ArrayList<>(byPreference);
-    Collections.rotate(inTurn.subList(0, used), -Math.floorMod(turn, used));
-    return new ServerSubset(inTurn, used);
+    int used = Math.max(size, neededServers);
+    List<ServerEntry> rotated = new ArrayList<>(byPreference);
+    Collections.rotate(rotated.subList(0, used), -Math.floorMod(turn, used));
+    return new ServerSubset(rotated, used);
   }
 
   /**
-   * Fewest servers, in order of preference, that together have the needed places; all if too few.
+   * Returns the minimum number of servers, in order of preference, that have the needed slots in
+   * total; all servers if there are too few.
    */
-  private int serversWith(long needed) {
-    long places = 0;
+  private int serversForSlots(long needed) {
+    long slots = 0;
     int servers = 0;
-    while (places < needed && servers < byPreference.size()) {
-      places += Math.max(1, byPreference.get(servers).slots());
+    while (slots < needed && servers < byPreference.size()) {
+      slots += Math.max(1, byPreference.get(servers).slots());
       servers++;
     }
     return servers;
   }
 
   /**
-   * Servers to choose from: those of the subset while any of them is good, else all. A request is
-   * never refused or sent to a worse place because of the subset.
+   * Returns the servers to choose from: the subset if any of its servers is good, otherwise all
+   * servers, so that the subset never causes a refusal.
    *
-   * @param isGood whether a server is healthy and has a place, as far as is known now
+   * @param isGood whether a server is healthy and has a free slot according to current knowledge
    */
   public List<ServerEntry> candidates(Predicate<ServerEntry> isGood) {
     List<ServerEntry> servers = byPreference.subList(0, size);
     return servers.stream().anyMatch(isGood) ? servers : byPreference;
   }
 
-  /** Whether some servers are outside the subset. */
+  /** Returns whether some servers are outside the subset. */
   public boolean isNarrowed() {
     return size < byPreference.size();
   }
 
-  /** Whether a server is in the subset. */
+  /** Returns whether a server is in the subset. */
   public boolean contains(ServerStart start) {
     return byPreference.subList(0, size).stream().anyMatch(server -> server.start().equals(start));
   }
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -6,14 +6,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Servers as the platform lists them now, the newest start of each. Not thread-safe. */
+/**
+ * Registry of the servers that the platform lists, with the newest incarnation of each. Not
+ * thread-safe.
+ */
 public final class ServerTable {
   private final Map<String, ServerEntry> servers = new TreeMap<>();
 
   /**
-   * A server listed itself or changed its entry. Versions that this start told already stay; an
-   * entry of an earlier start is ignored. A server that has told when it started always does: an
-   * entry without that is by another writer, and what stands under the id is no server's any more.
+   * Adds or updates the entry of a server. Versions already reported by the same incarnation are
+   * kept; an entry of an earlier incarnation is ignored. An entry without a start time under the id
+   * of a server that reports one comes from another writer and removes the server.
    */
   public void put(ServerEntry entry) {
     ServerStart start = entry.start();
@@ -27,7 +30,7 @@
     }
   }
 
-  /** A server told that it holds a version of a model, before its entry says so. */
+  /** Records a model version that a server reported before its entry was updated. */
   public void onReached(ServerStart start, String model, long version) {
     servers.computeIfPresent(
         start.id(),
@@ -35,47 +38,49 @@
             entry.start().equals(start) ? entry.withAtLeast(Map.of(model, version)) : entry);
   }
 
-  /** A server's entry is gone, or does not name one. */
+  /** Removes the entry of a server that is no longer listed or whose entry is invalid. */
   public void remove(String id) {
     servers.remove(id);
   }
 
-  /** Keeps only the servers of these ids: the table was listed anew. */
+  /** Keeps only the servers with these ids, after a full listing. */
   public void retain(Set<String> ids) {
     servers.keySet().retainAll(ids);
   }
 
-  /** What stands under an id, whichever start it is of; null if nothing does. */
+  /** Returns the entry under an id, of any incarnation, or null if there is none. */
   public ServerEntry listed(String id) {
     return servers.get(id);
   }
 
-  /** The entry of a start; null if there is none, or one of a later start. */
+  /**
+   * Returns the entry of an incarnation, or null if there is none or another incarnation is listed.
+   */
   public ServerEntry get(ServerStart start) {
     ServerEntry entry = servers.get(start.id());
     return entry != null && entry.start().equals(start) ? entry : null;
   }
 
-  /** Whether a later start of the same server is listed. */
+  /** Returns whether a later incarnation of the same server is listed. */
   public boolean isSucceeded(ServerStart start) {
     ServerEntry entry = servers.get(start.id());
     return entry != null && start.isFollowedBy(entry.start());
   }
 
-  /** Whether new work may go to this start of a server. */
+  /** Returns whether this incarnation of a server accepts new requests. */
   public boolean isReady(ServerStart start) {
     ServerEntry entry = get(start);
     return entry != null && entry.ready();
   }
 
-  /** Servers of a service that take new work. */
+  /** Returns the servers of a service that accept new requests. */
   public List<ServerEntry> readyOf(String service) {
     return servers.values().stream()
         .filter(entry -> entry.ready() && entry.service().equals(service))
         .toList();
   }
 
-  /** All entries. */
+  /** Returns all entries. */
   public Collection<ServerEntry> all() {
     return List.copyOf(servers.values());
   }
--- a/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
@@ -7,25 +7,26 @@
 import org.passhaven.protocol.member.ServerUse;
 
 /**
- * Other nodes' last reports of their generations at servers. A report counts in full until the
- * node's next one is due; then its weight falls linearly to zero, since the reported generations
- * end. Times in monotonic milliseconds of the reader. Not thread-safe.
+ * Latest reports of other nodes on their generations in progress at each server. A report has full
+ * weight until the node's next one is due; then its weight falls linearly to zero, as the reported
+ * generations end. Times are in monotonic milliseconds of the reading node. Not thread-safe.
  */
 public final class ServerUseTable {
-  /** Time within which the next report of a node that generates is read. */
-  private static final long FRESH_MILLIS = 1_000;
+  /** Age up to which a report has full weight: the next one is due by then. */
+  private static final long FULL_WEIGHT_MILLIS = 1_000;
 
-  /** Age from which a report counts no more: most reported generations have ended by then. */
-  private static final long EXPIRED_MILLIS = 4_000;
+  /** Age from which a report is ignored: most reported generations have ended by then. */
+  private static final long EXPIRY_MILLIS = 4_000;
 
   private final Map<String, Report> byNode = new HashMap<>();
 
-  private record Report(long incarnation, Map<ServerStart, ServerUse> uses, long atMillis) {}
+  private record Report(
+      long incarnation, Map<ServerStart, ServerUse> uses, long receivedAtMillis) {}
 
-  /** Takes in a report of another node; it replaces the node's former one. */
+  /** Adds a report of another node, replacing the node's previous one. */
   public void onReport(String node, long incarnation, List<ServerUse> uses, long nowMillis) {
     Objects.requireNonNull(node, "node");
-    // Done here too, since a node without jobs begins no rounds but receives reports.
+    // Nodes without jobs receive reports but never call forgetExpired in a scheduling round.
     forgetExpired(nowMillis);
     Report before = byNode.get(node);
     if (before != null && incarnation < before.incarnation()) {
@@ -40,58 +41,66 @@
     byNode.put(node, new Report(incarnation, byStart, nowMillis));
   }
 
-  /** Forgets reports that count no more. */
+  /** Removes expired reports. */
   public void forgetExpired(long nowMillis) {
-    byNode.values().removeIf(report -> nowMillis - report.atMillis() >= EXPIRED_MILLIS);
+    byNode.values().removeIf(report -> nowMillis - report.receivedAtMillis() >= EXPIRY_MILLIS);
   }
 
-  /** Number of nodes with a report that still counts. */
+  /** Returns the number of nodes with a report that was not removed. */
   public int reportingNodes() {
     return byNode.size();
   }
 
-  /** Expected number of generations of other nodes at a server now. */
+  /** Returns the estimated number of generations of other nodes at a server now. */
   public double placesTaken(ServerStart start, long nowMillis) {
-    double places = 0;
+    double slots = 0;
     for (Report report : byNode.values()) {
       ServerUse use = report.uses().get(start);
       if (use != null) {
-        places += use.inProgress() * weightAt(nowMillis - report.atMillis());
+        slots += use.inProgress() * weightAtAge(nowMillis - report.receivedAtMillis());
       }
     }
-    return places;
+    return slots;
   }
 
-  /** Lasting pause between events at a server by the newest report of it; zero if there is none. */
+  /**
+   * Returns the sustained pause between events at a server from its newest report, or zero if there
+   * is none.
+   */
   public double pauseMillis(ServerStart start, long nowMillis) {
     long newest = Long.MIN_VALUE;
     double pause = 0;
     for (Report report : byNode.values()) {
       ServerUse use = report.uses().get(start);
       boolean isKnown = use != null && use.pauseMillis() > 0;
-      if (isKnown && report.atMillis() > newest && weightAt(nowMillis - report.atMillis()) > 0) {
-        newest = report.atMillis();
+      if (isKnown
+          && report.receivedAtMillis() > newest
+          && weightAtAge(nowMillis - report.receivedAtMillis()) > 0) {
+        newest = report.receivedAtMillis();
         pause = use.pauseMillis();
       }
     }
     return pause;
   }
 
-  /** Age of the oldest report that counts for a server; {@link Long#MAX_VALUE} if none does. */
+  /**
+   * Returns the age of the oldest unexpired report on a server, or {@link Long#MAX_VALUE} if there
+   * is none.
+   */
   public long ageMillis(ServerStart start, long nowMillis) {
     return byNode.values().stream()
         .filter(report -> report.uses().containsKey(start))
-        .mapToLong(report -> nowMillis - report.atMillis())
-        .filter(age -> weightAt(age) > 0)
+        .mapToLong(report -> nowMillis - report.receivedAtMillis())
+        .filter(age -> weightAtAge(age) > 0)
         .max()
         .orElse(Long.MAX_VALUE);
   }
 
-  private static double weightAt(long ageMillis) {
-    if (ageMillis <= FRESH_MILLIS) {
+  private static double weightAtAge(long ageMillis) {
+    if (ageMillis <= FULL_WEIGHT_MILLIS) {
       return 1;
     }
-    double left = EXPIRED_MILLIS - ageMillis;
-    return Math.max(0, left / (EXPIRED_MILLIS - FRESH_MILLIS));
+    double left = EXPIRY_MILLIS - ageMillis;
+    return Math.max(0, left / (EXPIRY_MILLIS - FULL_WEIGHT_MILLIS));
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
+++ b/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
@@ -7,13 +7,15 @@
 import org.passhaven.core.placement.Rendezvous;
 
 /**
- * Subsets of all nodes by rendezvous hashing with bounded loads, in rounds: in each round every
- * node chooses one more server among those below their share of nodes, near ones first, then the
- * one with the highest rendezvous weight. So first choices are spread as evenly as whole subsets,
- * and a node or server that leaves changes few other nodes' subsets.
+ * Computes the subsets of all nodes by rendezvous hashing with bounded loads. In each round every
+ * node chooses one more server among those below their share of nodes: near ones first, then by
+ * rendezvous weight. First choices are therefore spread as evenly as whole subsets, and a node or
+ * server that leaves changes few other subsets.
  */
 final class SubsetRounds {
-  /** Key of the order in which nodes choose; by name, nodes of one rack would follow each other. */
+  /**
+   * Hash key for the order in which nodes choose; ordering by name would group nodes of one rack.
+   */
   private static final String NODE_ORDER_KEY = "subset";
 
   private final List<Member> nodes;
@@ -22,7 +24,7 @@
   private final boolean[][] chosen;
   private final int[] nodesOfServer;
   private final int[] maxNodesOfServer;
-  private final long allPlaces;
+  private final long totalSlots;
 
   SubsetRounds(Collection<Member> nodes, Collection<ServerEntry> servers) {
     this.nodes =
@@ -37,7 +39,7 @@
     this.chosen = new boolean[this.nodes.size()][servers.size()];
     this.nodesOfServer = new int[servers.size()];
     this.maxNodesOfServer = new int[servers.size()];
-    this.allPlaces = servers.stream().mapToLong(SubsetRounds::places).sum();
+    this.totalSlots = servers.stream().mapToLong(SubsetRounds::slotsOf).sum();
     computeWeights();
   }
 
@@ -50,15 +52,15 @@
     }
   }
 
-  private static int places(ServerEntry server) {
+  private static int slotsOf(ServerEntry server) {
     return Math.max(1, server.slots());
   }
 
-  /** The subset of one node, in the order of its choices. */
+  /** Returns the subset of one node, in the order of its choices. */
   List<ServerEntry> choose(String self, int size) {
     ServerEntry[] own = new ServerEntry[size];
     for (int round = 0; round < size; round++) {
-      setShares(round + 1);
+      setNodeLimits(round + 1);
       for (int turn = 0; turn < nodes.size(); turn++) {
         // The order is reversed in every other round, so that no node always chooses last.
         int node = round % 2 == 0 ? turn : nodes.size() - 1 - turn;
@@ -71,12 +73,15 @@
     return List.of(own);
   }
 
-  /** Sets the most nodes of each server after some rounds, in proportion to its places. */
-  private void setShares(int rounds) {
+  /**
+   * Sets the maximum number of nodes of each server after the given rounds, in proportion to its
+   * slots.
+   */
+  private void setNodeLimits(int rounds) {
     long choices = (long) rounds * nodes.size();
     for (int server = 0; server < maxNodesOfServer.length; server++) {
-      long share = choices * places(servers.get(server));
-      maxNodesOfServer[server] = (int) ((share + allPlaces - 1) / allPlaces);
+      long share = choices * slotsOf(servers.get(server));
+      maxNodesOfServer[server] = (int) ((share + totalSlots - 1) / totalSlots);
     }
   }
 
@@ -102,7 +107,7 @@
     return weights[node][server] > weights[node][other];
   }
 
-  /** By how much one more node would exceed a server's share. */
+  /** Returns by how much one more node would exceed a server's share. */
   private int excess(int server) {
     return Math.max(0, nodesOfServer[server] + 1 - maxNodesOfServer[server]);
   }
--- a/core/src/main/java/org/passhaven/core/backend/package-info.java
+++ b/core/src/main/java/org/passhaven/core/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Servers as the platform lists them, what is known of their health, and the choice among them. */
+/** Registry, health and selection of model servers. */
 package org.passhaven.core.backend;
--- a/core/src/test/java/org/passhaven/core/backend/BlindPlacement.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -14,11 +14,11 @@
 import org.passhaven.core.placement.Member;
 
 /**
- * Simulation of one minute of a service whose servers are chosen by nodes without knowledge of each
- * other: a runner sends bursts of scorings, callers send requests at regular intervals, and checks
- * of the configuration go through each node.
+ * Simulates one minute of a service whose nodes choose servers independently: one node sends bursts
+ * of scoring requests, callers send requests at regular intervals, and health checks go through
+ * each node.
  */
-final class BlindPlacement {
+final class IndependentPlacementSimulation {
   private static final int SERVERS = 12;
   private static final long END_MILLIS = 60_000;
   private static final long BURST_MILLIS = 1_500;
@@ -26,17 +26,19 @@
   private static final long CHECK_MILLIS = 1_600;
   private static final long SCORING_WORK_MILLIS = 202;
   private static final long CALL_WORK_MILLIS = 25;
-  private static final long IDLE_CLOSED_MILLIS = 5_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 5_000;
 
-  /** How a node chooses a server. */
-  enum Way {
-    /** The least used and nearest of all servers; ties by name. */
+  /** Strategy by which a node chooses a server. */
+  enum Strategy {
+    /** The cheapest of all servers by load and zone; ties by name. */
     BY_NAME,
-    /** The less costly of two servers drawn at random among all. */
+    /** The cheaper of two random servers. */
     TWO_OF_ALL,
-    /** The less costly of two servers drawn at random from the node's subset. */
+    /** The cheaper of two random servers of the node's subset. */
     TWO_OF_SUBSET,
-    /** The best server of the node's subset; ties in the node's own order. The way in use. */
+    /**
+     * The cheapest server of the node's subset; ties in the node's own order. Used in production.
+     */
     SUBSET
   }
 
@@ -50,7 +52,7 @@
 
   private record Event(long atMillis, Runnable task) {}
 
-  private final Way way;
+  private final Strategy strategy;
   private final Random random;
   private final List<Member> members;
   private final List<ServerEntry> servers;
@@ -61,11 +63,11 @@
   private final List<Long> calls = new ArrayList<>();
   private final List<Long> checks = new ArrayList<>();
   private final List<Long> scorings = new ArrayList<>();
-  private long now;
+  private long nowMillis;
   private int connections;
 
-  private BlindPlacement(Way way, int fleet, long seed) {
-    this.way = way;
+  private IndependentPlacementSimulation(Strategy strategy, int fleet, long seed) {
+    this.strategy = strategy;
     this.random = new Random(seed);
     this.members = SubsetFixture.nodes(fleet, true, random);
     this.servers = SubsetFixture.servers(SERVERS, false, random);
@@ -73,43 +75,48 @@
     this.nodes = members.stream().map(Node::new).toList();
   }
 
-  static Figures play(Way way, int fleet, long seed) {
-    return new BlindPlacement(way, fleet, seed).play();
+  static Figures simulate(Strategy strategy, int fleet, long seed) {
+    return new IndependentPlacementSimulation(strategy, fleet, seed).simulate();
   }
 
-  private Figures play() {
+  private Figures simulate() {
     for (long at = 0; at < END_MILLIS; at += CALL_MILLIS) {
-      later(at, () -> send(nodes.get(random.nextInt(nodes.size())), CALL_WORK_MILLIS, calls));
+      schedule(at, () -> send(nodes.get(random.nextInt(nodes.size())), CALL_WORK_MILLIS, calls));
     }
     for (long at = 0; at < END_MILLIS; at += CHECK_MILLIS) {
       for (Node node : nodes) {
-        later(at + random.nextInt((int) CHECK_MILLIS), () -> send(node, CALL_WORK_MILLIS, checks));
+        schedule(
+            at + random.nextInt((int) CHECK_MILLIS), () -> send(node, CALL_WORK_MILLIS, checks));
       }
     }
     for (long at = 0; at < END_MILLIS; at += BURST_MILLIS) {
-      later(at, this::burst);
+      schedule(at, this::sendBurst);
     }
     while (!events.isEmpty()) {
       Event next = events.poll();
-      now = next.atMillis();
+      nowMillis = next.atMillis();
       next.task().run();
     }
     int most = running.values().stream().mapToInt(server -> server.served).max().orElse(0);
     double mean = (calls.size() + checks.size() + scorings.size()) / (double) SERVERS;
     return new Figures(
-        most / mean, part(calls, 0.5), part(calls, 0.99), part(scorings, 0.99), connections);
+        most / mean,
+        percentile(calls, 0.5),
+        percentile(calls, 0.99),
+        percentile(scorings, 0.99),
+        connections);
   }
 
-  private static long part(List<Long> times, double part) {
+  private static long percentile(List<Long> times, double part) {
     long[] sorted = times.stream().mapToLong(Long::longValue).sorted().toArray();
     return sorted[(int) (part * (sorted.length - 1))];
   }
 
-  private void later(long atMillis, Runnable task) {
+  private void schedule(long atMillis, Runnable task) {
     events.add(new Event(atMillis, task));
   }
 
-  private void burst() {
+  private void sendBurst() {
     int count = 8 + random.nextInt(9);
     for (int i = 0; i < count; i++) {
       send(nodes.get(0), SCORING_WORK_MILLIS, scorings);
@@ -117,54 +124,54 @@
   }
 
   private void send(Node node, long workMillis, List<Long> times) {
-    long sentAt = now;
+    long sentAt = nowMillis;
     ServerEntry to = node.choose();
     node.connect(to);
     node.health.onSent(to.start());
     running
         .get(to.start())
-        .take(
+        .enqueue(
             workMillis,
             () -> {
               node.health.onEnded(to.start());
-              node.health.onSuccess(to.start(), now - sentAt, now);
-              node.idle(to).add(now);
-              times.add(now - sentAt);
+              node.health.onSuccess(to.start(), nowMillis - sentAt, nowMillis);
+              node.idle(to).add(nowMillis);
+              times.add(nowMillis - sentAt);
             });
   }
 
-  /** A server: works on as many requests as it has places; further ones wait in turn. */
+  /** A server that processes as many requests as it has slots and queues the others in order. */
   private final class Server {
     private final double slowness;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private int taken;
+    private int inProgress;
     private int served;
 
     Server(double slowness) {
       this.slowness = slowness;
     }
 
-    void take(long workMillis, Runnable whenDone) {
+    void enqueue(long workMillis, Runnable whenDone) {
       served++;
-      waiting.add(() -> begin(workMillis, whenDone));
-      next();
+      waiting.add(() -> start(workMillis, whenDone));
+      startNext();
     }
 
-    private void next() {
-      if (taken < servers.get(0).slots() && !waiting.isEmpty()) {
-        taken++;
+    private void startNext() {
+      if (inProgress < servers.get(0).slots() && !waiting.isEmpty()) {
+        inProgress++;
         waiting.poll().run();
       }
     }
 
-    private void begin(long workMillis, Runnable whenDone) {
+    private void start(long workMillis, Runnable whenDone) {
       long tookMillis = Math.round(workMillis * slowness * (0.8 + 0.4 * random.nextDouble()));
-      later(
-          now + tookMillis,
+      schedule(
+          nowMillis + tookMillis,
           () -> {
-            taken--;
+            inProgress--;
             whenDone.run();
-            next();
+            startNext();
           });
     }
   }
@@ -173,37 +180,38 @@
     private final ServerHealth health = new ServerHealth();
     private final PeakUse use = new PeakUse();
     private final Map<ServerStart, List<Long>> idleSince = new HashMap<>();
-    private final ServerSubset formed;
+    private final ServerSubset subset;
     private final ServerPicker byZone;
     private final ServerPicker inSubset;
     private int turn;
 
     Node(Member self) {
-      formed = ServerSubset.of(self, members, servers);
+      subset = ServerSubset.of(self, members, servers);
       byZone = new ServerPicker(health, self.zone());
       inSubset =
           new ServerPicker(
               health,
-              server -> server.zone().equals(self.zone()) || formed.contains(server.start()));
+              server -> server.zone().equals(self.zone()) || subset.contains(server.start()));
     }
 
     ServerEntry choose() {
       List<ServerEntry> byName =
           servers.stream().sorted(Comparator.comparing(ServerEntry::start)).toList();
       int own = servers.stream().mapToInt(server -> health.inProgress(server.start())).sum();
-      List<ServerEntry> subset =
-          formed
-              .forUse(use.mark(own + 1, now), turn++)
-              .candidates(server -> inSubset.isGood(server, servers, now));
-      return switch (way) {
-        case BY_NAME -> byZone.pick(byName, Set.of(), now).orElseThrow();
-        case TWO_OF_ALL -> byZone.pick(two(byName), Set.of(), now).orElseThrow();
-        case TWO_OF_SUBSET -> inSubset.pick(two(subset), Set.of(), now).orElseThrow();
-        case SUBSET -> inSubset.pick(subset, Set.of(), now).orElseThrow();
+      List<ServerEntry> candidates =
+          subset
+              .forUse(use.mark(own + 1, nowMillis), turn++)
+              .candidates(server -> inSubset.isGood(server, servers, nowMillis));
+      return switch (strategy) {
+        case BY_NAME -> byZone.pick(byName, Set.of(), nowMillis).orElseThrow();
+        case TWO_OF_ALL -> byZone.pick(randomPair(byName), Set.of(), nowMillis).orElseThrow();
+        case TWO_OF_SUBSET ->
+            inSubset.pick(randomPair(candidates), Set.of(), nowMillis).orElseThrow();
+        case SUBSET -> inSubset.pick(candidates, Set.of(), nowMillis).orElseThrow();
       };
     }
 
-    private List<ServerEntry> two(List<ServerEntry> among) {
+    private List<ServerEntry> randomPair(List<ServerEntry> among) {
       int first = random.nextInt(among.size());
       int second = (first + 1 + random.nextInt(among.size() - 1)) % among.size();
       return Arrays.asList(among.get(first), among.get(second));
@@ -215,7 +223,7 @@
 
     void connect(ServerEntry server) {
       List<Long> idle = idle(server);
-      idle.removeIf(since -> now - since > IDLE_CLOSED_MILLIS);
+      idle.removeIf(since -> nowMillis - since > IDLE_TIMEOUT_MILLIS);
       if (idle.isEmpty()) {
         connections++;
       } else {
--- a/core/src/test/java/org/passhaven/core/backend/BlindPlacementTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementTest.java
@@ -7,21 +7,21 @@
 import java.util.Locale;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.backend.BlindPlacement.Figures;
-import org.passhaven.core.backend.BlindPlacement.Way;
+import org.passhaven.core.backend.IndependentPlacementSimulation.Figures;
+import org.passhaven.core.backend.IndependentPlacementSimulation.Strategy;
 
-/** Compares ways to choose a server at nodes without knowledge of each other. */
-class BlindPlacementTest {
+/** Guards against uneven load and excess connections when nodes choose servers independently. */
+class IndependentPlacementTest {
   private static final int SEEDS = 10;
 
-  private static Figures mean(Way way, int fleet) {
+  private static Figures mean(Strategy strategy, int fleet) {
     double spread = 0;
     long p50 = 0;
     long p99 = 0;
     long scorings = 0;
     int connections = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
-      Figures one = BlindPlacement.play(way, fleet, seed);
+      Figures one = IndependentPlacementSimulation.simulate(strategy, fleet, seed);
       spread += one.maxOverMean() / SEEDS;
       p50 += one.callsP50Millis();
       p99 += one.callsP99Millis();
@@ -34,7 +34,7 @@
         Locale.ROOT,
         "%-13s %2d nodes: busiest/mean %.2f, calls p50 %d ms p99 %d ms, scorings p99 %d ms,"
             + " %d connections%n",
-        way,
+        strategy,
         fleet,
         mean.maxOverMean(),
         mean.callsP50Millis(),
@@ -47,17 +47,17 @@
   @Test
   void subsetsSpreadBetterThanNamesAndOpenFewerConnectionsThanRandomChoices() {
     for (int fleet : new int[] {90, 30, 5}) {
-      Map<Way, Figures> ways = new EnumMap<>(Way.class);
-      for (Way way : Way.values()) {
-        ways.put(way, mean(way, fleet));
+      Map<Strategy, Figures> figures = new EnumMap<>(Strategy.class);
+      for (Strategy strategy : Strategy.values()) {
+        figures.put(strategy, mean(strategy, fleet));
       }
-      Figures byName = ways.get(Way.BY_NAME);
-      Figures subset = ways.get(Way.SUBSET);
-      Figures twoChoices = ways.get(Way.TWO_OF_ALL);
+      Figures byName = figures.get(Strategy.BY_NAME);
+      Figures subset = figures.get(Strategy.SUBSET);
+      Figures twoChoices = figures.get(Strategy.TWO_OF_ALL);
       assertThat(subset.maxOverMean(), lessThan(0.8 * byName.maxOverMean()));
       assertThat((double) subset.connections(), lessThan(1.2 * byName.connections()));
       assertThat(subset.connections(), lessThan(twoChoices.connections()));
-      // Subsets also send calls to slower servers; only the wait for a place must not grow.
+      // Subsets also send calls to slower servers; only the wait for a slot must not grow.
       assertThat(subset.callsP99Millis(), lessThan(byName.callsP99Millis() + 5));
       assertThat((double) subset.scoringsP99Millis(), lessThan(1.05 * byName.scoringsP99Millis()));
     }
--- a/core/src/test/java/org/passhaven/core/backend/ServerHealthTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerHealthTest.java
@@ -5,12 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against wrong backoff of failing servers. */
 class ServerHealthTest {
   private static final ServerStart SERVER = ServerStart.of("a");
   private final ServerHealth health = new ServerHealth();
 
   @Test
-  void failuresThatFollowEachOtherLeaveItOutLongerAndLonger() {
+  void consecutiveFailuresIncreaseTheBackoff() {
     health.onFailure(SERVER, 1_000);
     health.onFailure(SERVER, 1_200);
     assertThat(health.isAvoided(SERVER, 1_599), is(true));
@@ -21,14 +22,14 @@
   }
 
   @Test
-  void aFailureBesideARefusalCounts() {
+  void aFailureDuringAnAvoidancePeriodExtendsIt() {
     health.avoid(SERVER, 80, 1_000);
     health.onFailure(SERVER, 1_010);
     assertThat(health.isAvoided(SERVER, 1_209), is(true));
   }
 
   @Test
-  void anAnswerEndsIt() {
+  void aSuccessResetsTheBackoff() {
     health.onFailure(SERVER, 1_000);
     health.onSuccess(SERVER, 20, 1_050);
     assertThat(health.isAvoided(SERVER, 1_060), is(false));
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.placement.Member;
 
+/** Guards against inconsistent, uneven or unstable server subsets. */
 class ServerSubsetTest {
   private static final int SEEDS = 30;
 
@@ -29,7 +30,7 @@
   }
 
   @Test
-  void whoeverSeesTheSameFindsTheSameInWhateverOrder() {
+  void theSubsetDoesNotDependOnTheOrderOfNodesAndServers() {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       List<Member> nodes = SubsetFixture.nodes(40, true, random);
@@ -57,11 +58,12 @@
 
   @Test
   void aSmallFleetOrAServiceOfThreeHasAllServers() {
-    for (int[] site : new int[][] {{1, 3}, {10, 3}, {13, 3}, {80, 3}, {370, 3}, {5, 12}, {8, 40}}) {
+    for (int[] fleet :
+        new int[][] {{1, 3}, {10, 3}, {13, 3}, {80, 3}, {370, 3}, {5, 12}, {8, 40}}) {
       assertThat(
-          site[0] + " nodes, " + site[1] + " servers",
-          ServerSubset.sizeFor(site[0], site[1]),
-          is(site[1]));
+          fleet[0] + " nodes, " + fleet[1] + " servers",
+          ServerSubset.sizeFor(fleet[0], fleet[1]),
+          is(fleet[1]));
     }
     assertThat(ServerSubset.sizeFor(80, 12), is(3));
     assertThat(ServerSubset.sizeFor(370, 60), is(3));
@@ -75,7 +77,7 @@
   }
 
   @Test
-  void serversWithMorePlacesHaveMoreNodes() {
+  void serversWithMoreSlotsHaveMoreNodes() {
     Random random = new Random(1);
     List<Member> nodes = SubsetFixture.nodes(80, false, random);
     List<ServerEntry> servers = new ArrayList<>(SubsetFixture.servers(11, false, random));
@@ -92,7 +94,7 @@
   }
 
   @Test
-  void aServerThatGoesIsReplacedAndOthersMostlyStay() {
+  void aRemovedServerIsReplacedAndOthersMostlyStay() {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       List<Member> nodes = SubsetFixture.nodes(80, true, random);
@@ -100,11 +102,11 @@
       ServerEntry gone = servers.get(random.nextInt(12));
       List<ServerEntry> left = new ArrayList<>(servers);
       left.remove(gone);
-      Map<String, List<ServerEntry>> before = SubsetWays.BOUNDED.subsets(nodes, servers);
-      Map<String, List<ServerEntry>> after = SubsetWays.BOUNDED.subsets(nodes, left);
+      Map<String, List<ServerEntry>> before = SubsetAlgorithm.BOUNDED.subsets(nodes, servers);
+      Map<String, List<ServerEntry>> after = SubsetAlgorithm.BOUNDED.subsets(nodes, left);
       after.values().forEach(subset -> assertThat(subset, not(hasItem(gone))));
       after.values().forEach(subset -> assertThat(subset, hasSize(3)));
-      assertThat(SubsetFixture.changed(before, after), lessThan(0.25));
+      assertThat(SubsetFixture.fractionChanged(before, after), lessThan(0.25));
     }
   }
 
@@ -188,7 +190,7 @@
   }
 
   @Test
-  void aNodeWithManyRequestsUsesMoreServersInTurnAndOneWithFewKeepsToItsFirst() {
+  void aNodeWithManyRequestsRotatesOverMoreServersAndOneWithFewKeepsItsFirst() {
     Random random = new Random(4);
     List<Member> nodes = SubsetFixture.nodes(80, false, random);
     List<ServerEntry> servers = SubsetFixture.servers(12, false, random);
@@ -207,7 +209,7 @@
   }
 
   @Test
-  void aPeakIsHeldBetweenTwoBurstsAndThenForgotten() {
+  void aPeakIsKeptBetweenTwoBurstsAndThenExpires() {
     PeakUse use = new PeakUse();
     assertThat(use.mark(12, 0), is(12));
     assertThat(use.mark(1, 5_000), is(12));
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against state of one server incarnation being applied to another. */
 class ServerTableTest {
   private static final ServerStart FIRST = new ServerStart("a", 100);
   private static final ServerStart SECOND = new ServerStart("a", 200);
@@ -20,7 +21,7 @@
   }
 
   @Test
-  void aStartUnderTheSameIdKnowsNothingOfTheOneBefore() {
+  void aRestartUnderTheSameIdDropsTheStateOfThePreviousIncarnation() {
     table.put(entry(FIRST, true, 7));
     table.put(entry(SECOND, true, 1));
     assertThat(table.get(SECOND).versionOf("m"), equalTo(1L));
@@ -31,7 +32,7 @@
   }
 
   @Test
-  void whatTheEarlierStartIsSaidToHoldIsNotTheLaterOnes() {
+  void versionsReportedForAnEarlierIncarnationDoNotApplyToALaterOne() {
     table.put(entry(SECOND, true, 1));
     table.onReached(FIRST, "m", 9);
     assertThat(table.get(SECOND).versionOf("m"), equalTo(1L));
@@ -41,7 +42,7 @@
   }
 
   @Test
-  void anEntryOfAnEarlierStartIsIgnored() {
+  void anEntryOfAnEarlierIncarnationIsIgnored() {
     table.put(entry(SECOND, true, 1));
     table.put(entry(FIRST, false, 9));
     assertThat(table.isReady(SECOND), is(true));
@@ -49,7 +50,7 @@
   }
 
   @Test
-  void anEntryWithoutAStartUnderAnIdThatToldOneNamesNoServer() {
+  void anEntryThatLosesItsStartTimeRemovesTheServer() {
     table.put(entry(FIRST, true, 1));
     table.put(entry(ServerStart.of("b"), true, 1));
     table.put(entry(ServerStart.of("a"), true, 1));
@@ -58,7 +59,7 @@
   }
 
   @Test
-  void aServerThatBeginsToTellItsStartHasStartedAnew() {
+  void aServerThatStartsToReportItsStartTimeIsANewIncarnation() {
     table.put(entry(ServerStart.of("a"), true, 7));
     table.put(entry(FIRST, true, 1));
     assertThat(table.get(FIRST).versionOf("m"), equalTo(1L));
@@ -66,7 +67,7 @@
   }
 
   @Test
-  void whereNoServerTellsItsStartAllIsAsItIs() {
+  void entriesWithoutStartTimesAreUpdatedNormally() {
     ServerStart start = ServerStart.of("b");
     table.put(entry(start, true, 2));
     table.put(entry(start, false, 1));
--- a/core/src/test/java/org/passhaven/core/backend/SubsetWays.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetAlgorithm.java
@@ -10,38 +10,35 @@
 import org.passhaven.core.placement.Member;
 import org.passhaven.core.placement.Rendezvous;
 
-/** Algorithms that give each node a subset of servers: published ones, and the one in use. */
-enum SubsetWays {
+/** Algorithms that assign each node a subset of servers: published ones and the production one. */
+enum SubsetAlgorithm {
   /** Rendezvous hashing, without bounded loads. */
   RENDEZVOUS,
-  /**
-   * Deterministic subsetting: rounds of nodes, each over the servers in a shuffled order of its
-   * own.
-   */
+  /** Deterministic subsetting: each round of nodes splits its own shuffled order of the servers. */
   SHUFFLED_ROUNDS,
-  /** Nodes at equal distances on a ring of servers, each with the servers that follow. */
+  /** Nodes at equal distances on a ring of servers; each node gets the servers that follow it. */
   RING,
-  /** Rendezvous hashing with bounded loads, in rounds: the algorithm in use. */
+  /** Rendezvous hashing with bounded loads, in rounds: the production algorithm. */
   BOUNDED;
 
-  /** The subset of each node, by its name. */
+  /** Returns the subset of each node by node name. */
   Map<String, List<ServerEntry>> subsets(List<Member> nodes, List<ServerEntry> servers) {
     Map<String, List<ServerEntry>> subsets = new HashMap<>();
     int size = ServerSubset.sizeFor(nodes.size(), servers.size());
-    for (int place = 0; place < nodes.size(); place++) {
-      subsets.put(nodes.get(place).name(), subset(nodes, place, servers, size));
+    for (int nodeIndex = 0; nodeIndex < nodes.size(); nodeIndex++) {
+      subsets.put(nodes.get(nodeIndex).name(), subset(nodes, nodeIndex, servers, size));
     }
     return subsets;
   }
 
   private List<ServerEntry> subset(
-      List<Member> nodes, int place, List<ServerEntry> servers, int size) {
+      List<Member> nodes, int nodeIndex, List<ServerEntry> servers, int size) {
     return switch (this) {
-      case RENDEZVOUS -> heaviest(nodes.get(place), servers, size);
-      case SHUFFLED_ROUNDS -> ofRound(place, servers, size);
-      case RING -> ofRing(place * servers.size() / nodes.size(), servers, size);
+      case RENDEZVOUS -> heaviest(nodes.get(nodeIndex), servers, size);
+      case SHUFFLED_ROUNDS -> ofRound(nodeIndex, servers, size);
+      case RING -> ofRing(nodeIndex * servers.size() / nodes.size(), servers, size);
       case BOUNDED -> {
-        ServerSubset subset = ServerSubset.of(nodes.get(place), nodes, servers);
+        ServerSubset subset = ServerSubset.of(nodes.get(nodeIndex), nodes, servers);
         yield subset.byPreference().subList(0, subset.size());
       }
     };
@@ -55,11 +52,11 @@
         .toList();
   }
 
-  private static List<ServerEntry> ofRound(int place, List<ServerEntry> servers, int size) {
+  private static List<ServerEntry> ofRound(int nodeIndex, List<ServerEntry> servers, int size) {
     int nodesARound = servers.size() / size;
     List<ServerEntry> shuffled = new ArrayList<>(servers);
-    Collections.shuffle(shuffled, new Random(place / nodesARound));
-    int from = place % nodesARound * size;
+    Collections.shuffle(shuffled, new Random(nodeIndex / nodesARound));
+    int from = nodeIndex % nodesARound * size;
     return shuffled.subList(from, from + size);
   }
 
--- a/core/src/test/java/org/passhaven/core/backend/SubsetWaysTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetAlgorithmTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.placement.Member;
 
-/** Compares algorithms of subsetting for fleets of different sizes. */
-class SubsetWaysTest {
+/** Guards against uneven or unstable subsets, by comparison with other subsetting algorithms. */
+class SubsetAlgorithmTest {
   private static final int[] FLEETS = {5, 12, 30, 80, 370};
   private static final int SERVERS = 12;
   private static final int SEEDS = 20;
@@ -31,11 +31,12 @@
     }
   }
 
-  private static Figures figures(SubsetWays way, int fleet, boolean isUneven, long seed) {
+  private static Figures figures(
+      SubsetAlgorithm algorithm, int fleet, boolean isUneven, long seed) {
     Random random = new Random(seed);
     List<Member> nodes = SubsetFixture.nodes(fleet, isUneven, random);
     List<ServerEntry> servers = SubsetFixture.servers(SERVERS, isUneven, random);
-    Map<String, List<ServerEntry>> subsets = way.subsets(nodes, servers);
+    Map<String, List<ServerEntry>> subsets = algorithm.subsets(nodes, servers);
     List<Member> fewer = new ArrayList<>(nodes);
     fewer.remove(random.nextInt(fewer.size()));
     List<ServerEntry> fewerServers = new ArrayList<>(servers);
@@ -43,21 +44,21 @@
     return new Figures(
         SubsetFixture.maxOverMean(subsets, servers, SERVERS),
         SubsetFixture.maxOverMean(subsets, servers, 1),
-        SubsetFixture.near(nodes, subsets),
-        SubsetFixture.changed(subsets, way.subsets(fewer, servers)),
-        SubsetFixture.changed(subsets, way.subsets(nodes, fewerServers)));
+        SubsetFixture.fractionInOwnZone(nodes, subsets),
+        SubsetFixture.fractionChanged(subsets, algorithm.subsets(fewer, servers)),
+        SubsetFixture.fractionChanged(subsets, algorithm.subsets(nodes, fewerServers)));
   }
 
-  private static Figures figures(SubsetWays way, int fleet, boolean isUneven) {
+  private static Figures figures(SubsetAlgorithm algorithm, int fleet, boolean isUneven) {
     Figures all = new Figures(0, 0, 0, 0, 0);
     for (int seed = 0; seed < SEEDS; seed++) {
-      all = all.plus(figures(way, fleet, isUneven, seed));
+      all = all.plus(figures(algorithm, fleet, isUneven, seed));
     }
     System.out.printf(
         Locale.ROOT,
         "%-15s %3d nodes%s: size %2d, max/mean %.2f, of first choices %.2f, near %.2f,"
             + " changed by a node %.3f, by a server %.3f%n",
-        way,
+        algorithm,
         fleet,
         isUneven ? " uneven" : "       ",
         ServerSubset.sizeFor(fleet, SERVERS),
@@ -71,18 +72,18 @@
 
   @Test
   void theWayInUseSpreadsBestAndIsAboutAsStableAsRendezvousAlone() {
-    Map<Integer, Map<SubsetWays, Figures>> uneven = new HashMap<>();
+    Map<Integer, Map<SubsetAlgorithm, Figures>> uneven = new HashMap<>();
     for (int fleet : FLEETS) {
-      uneven.put(fleet, new EnumMap<>(SubsetWays.class));
-      for (SubsetWays way : SubsetWays.values()) {
-        figures(way, fleet, false);
-        uneven.get(fleet).put(way, figures(way, fleet, true));
+      uneven.put(fleet, new EnumMap<>(SubsetAlgorithm.class));
+      for (SubsetAlgorithm algorithm : SubsetAlgorithm.values()) {
+        figures(algorithm, fleet, false);
+        uneven.get(fleet).put(algorithm, figures(algorithm, fleet, true));
       }
     }
     for (int fleet : new int[] {30, 80, 370}) {
-      Figures bounded = uneven.get(fleet).get(SubsetWays.BOUNDED);
-      Figures rendezvous = uneven.get(fleet).get(SubsetWays.RENDEZVOUS);
-      Figures rounds = uneven.get(fleet).get(SubsetWays.SHUFFLED_ROUNDS);
+      Figures bounded = uneven.get(fleet).get(SubsetAlgorithm.BOUNDED);
+      Figures rendezvous = uneven.get(fleet).get(SubsetAlgorithm.RENDEZVOUS);
+      Figures rounds = uneven.get(fleet).get(SubsetAlgorithm.SHUFFLED_ROUNDS);
       assertThat("spread of " + fleet, bounded.spread, lessThan(1.2));
       assertThat("first choices of " + fleet, bounded.firstSpread, lessThan(1.21));
       assertThat("spread of " + fleet, bounded.spread, lessThan(rendezvous.spread));
--- a/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
@@ -9,13 +9,16 @@
 import java.util.Set;
 import org.passhaven.core.placement.Member;
 
-/** Fleets and services drawn from a seed, and measures of their subsets. */
+/** Random fleets and services, and metrics of their subsets. */
 final class SubsetFixture {
-  private static final int PLACES = 6;
+  private static final int SLOTS = 6;
 
   private SubsetFixture() {}
 
-  /** Nodes over three zones; uneven: half of them in the first, a sixth in the last. */
+  /**
+   * Returns nodes in three zones; if uneven, half of them in the first zone and a sixth in the
+   * last.
+   */
   static List<Member> nodes(int count, boolean isUneven, Random random) {
     List<Member> nodes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -24,7 +27,7 @@
     return nodes;
   }
 
-  /** Servers over three zones; uneven: half of them in the last. */
+  /** Returns servers in three zones; if uneven, half of them in the last zone. */
   static List<ServerEntry> servers(int count, boolean isUneven, Random random) {
     List<ServerEntry> servers = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -34,7 +37,7 @@
   }
 
   static ServerEntry server(String id, String zone) {
-    return new ServerEntry(ServerStart.of(id), "s", id + ":1", zone, PLACES, true, Map.of());
+    return new ServerEntry(ServerStart.of(id), "s", id + ":1", zone, SLOTS, true, Map.of());
   }
 
   private static String zone(int i, int count, boolean isUneven) {
@@ -46,8 +49,8 @@
   }
 
   /**
-   * Largest number of nodes of a server relative to the mean, over the first servers of each
-   * subset.
+   * Returns the maximum number of nodes of a server relative to the mean, over the first servers of
+   * each subset.
    */
   static double maxOverMean(
       Map<String, List<ServerEntry>> subsets, List<ServerEntry> servers, int first) {
@@ -63,8 +66,8 @@
     return most * (double) servers.size() / choices;
   }
 
-  /** Share of the choices that differ after a change, of nodes present before and after. */
-  static double changed(
+  /** Returns the fraction of choices that changed, over nodes present before and after. */
+  static double fractionChanged(
       Map<String, List<ServerEntry>> before, Map<String, List<ServerEntry>> after) {
     int choices = 0;
     int changed = 0;
@@ -79,8 +82,8 @@
     return changed / (double) Math.max(1, choices);
   }
 
-  /** Share of the choices in the node's own zone. */
-  static double near(List<Member> nodes, Map<String, List<ServerEntry>> subsets) {
+  /** Returns the fraction of choices in the node's own zone. */
+  static double fractionInOwnZone(List<Member> nodes, Map<String, List<ServerEntry>> subsets) {
     long near = 0;
     long all = 0;
     for (Member node : nodes) {
