--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationImage.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationImage.java
@@ -6,13 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * The whole configuration at one revision. Immutable.
+ * Immutable snapshot of the whole configuration at one revision.
  *
- * @param revision number of accepted applications
- * @param trainers by name
- * @param models by name
- * @param services by name
- * @param callers by name
+ * @param revision number of accepted changes
+ * @param trainers trainer settings by name
+ * @param models model settings by name
+ * @param services service settings by name
+ * @param callers caller settings by name
  */
 public record ConfigurationImage(
     long revision,
@@ -20,7 +20,7 @@
     NavigableMap<String, ModelSettings> models,
     NavigableMap<String, ServiceSettings> services,
     NavigableMap<String, CallerSettings> callers) {
-  /** The configuration before any was applied. */
+  /** The empty configuration, before any change was applied. */
   public static final ConfigurationImage EMPTY =
       new ConfigurationImage(0, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
 
@@ -31,7 +31,7 @@
     callers = copy(callers);
   }
 
-  /** The engine group that serves a trainer's model. */
+  /** Returns the engine group that serves a trainer's model. */
   public Optional<String> engineGroupOf(String trainer) {
     return Optional.ofNullable(trainers.get(trainer))
         .map(settings -> models.get(settings.model()))
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationLog.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationLog.java
@@ -10,9 +10,9 @@
 import org.passhaven.protocol.LogRecord.ConfigurationApplied;
 
 /**
- * Fold of the configuration stream. An application is valid only if its base is the newest
- * revision, so of two racing operators the first in the log wins, for every reader. Not
- * thread-safe.
+ * Replays the configuration stream into the newest configuration documents. A change is valid only
+ * if it is based on the newest revision, so of two concurrent changes every reader accepts the
+ * first in the log. Not thread-safe.
  */
 public final class ConfigurationLog {
   /** Name of the stream. */
@@ -23,7 +23,7 @@
   private long revision;
   private String lastOperator = "";
 
-  /** Folds one record; returns whether it became the newest revision. */
+  /** Applies one record and returns whether it created a new revision. */
   public boolean apply(LogEntry entry) {
     if (!writers.accept(entry.id()) || !(entry.record() instanceof ConfigurationApplied applied)) {
       return false;
@@ -38,7 +38,7 @@
     return true;
   }
 
-  /** The record that turns the newest revision into {@code target}. */
+  /** Returns the record that changes the newest revision into {@code target}. */
   public ConfigurationApplied changeTo(Collection<ConfigurationDocument> target, String operator) {
     NavigableMap<String, ConfigurationDocument> wanted = new TreeMap<>();
     target.forEach(document -> wanted.put(document.key(), document));
@@ -51,17 +51,17 @@
     return new ConfigurationApplied(revision, operator, changed, removed);
   }
 
-  /** Newest revision; zero before any. */
+  /** Returns the newest revision, or zero if there is none. */
   public long revision() {
     return revision;
   }
 
-  /** Who applied the newest revision. */
+  /** Returns the operator who applied the newest revision. */
   public String lastOperator() {
     return lastOperator;
   }
 
-  /** Documents of the newest revision by key. */
+  /** Returns the documents of the newest revision, ordered by key. */
   public List<ConfigurationDocument> documents() {
     return List.copyOf(documents.values());
   }
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
@@ -24,11 +24,11 @@
 import org.passhaven.protocol.ConfigurationDocument;
 
 /**
- * Reads operators' files and stored documents into a {@link ConfigurationImage}. All files are
- * taken together or refused together, with every error. Thread-safe.
+ * Parses and validates operators' files and stored documents into a {@link ConfigurationImage}. If
+ * any document is invalid, all are rejected and every error is reported. Thread-safe.
  */
 public final class ConfigurationParser {
-  /** One file of a configuration. */
+  /** A configuration file. */
   public record SourceFile(String name, String content) {}
 
   private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
@@ -49,7 +49,7 @@
           .getValidator();
 
   /**
-   * Parses and checks a whole configuration.
+   * Parses and validates a whole configuration.
    *
    * @throws ConfigurationException with every error, if there is any
    */
@@ -59,7 +59,7 @@
     for (SourceFile file : files) {
       readFile(file, documents, errors);
     }
-    Builder builder = build(documents.values(), errors);
+    ImageBuilder builder = build(documents.values(), errors);
     builder.checkReferences(errors);
     if (!errors.isEmpty()) {
       throw new ConfigurationException(errors);
@@ -68,14 +68,14 @@
   }
 
   /**
-   * Builds the image of stored documents at a revision.
+   * Builds the snapshot of a revision from its stored documents.
    *
    * @throws ConfigurationException if a document is invalid
    */
   public ConfigurationImage image(long revision, Collection<ConfigurationDocument> documents)
       throws ConfigurationException {
     List<String> errors = new ArrayList<>();
-    Builder builder = build(documents, errors);
+    ImageBuilder builder = build(documents, errors);
     builder.checkReferences(errors);
     if (!errors.isEmpty()) {
       throw new ConfigurationException(errors);
@@ -123,8 +123,8 @@
     }
   }
 
-  private Builder build(Collection<ConfigurationDocument> documents, List<String> errors) {
-    Builder builder = new Builder();
+  private ImageBuilder build(Collection<ConfigurationDocument> documents, List<String> errors) {
+    ImageBuilder builder = new ImageBuilder();
     for (ConfigurationDocument document : documents) {
       int slash = document.key().indexOf('/');
       String kind = slash < 0 ? "" : document.key().substring(0, slash);
@@ -197,7 +197,7 @@
     }
   }
 
-  private static final class Builder {
+  private static final class ImageBuilder {
     final NavigableMap<String, TrainerSettings> trainers = new TreeMap<>();
     final NavigableMap<String, ModelSettings> models = new TreeMap<>();
     final NavigableMap<String, ServiceSettings> services = new TreeMap<>();
--- a/core/src/main/java/org/passhaven/core/configuration/ServiceSettings.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ServiceSettings.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * A named service behind passhaven.
+ * Settings of a named service behind passhaven.
  *
- * @param serverGroup group of servers in the platform's machine list
- * @param deadlineMillis longest time that a caller waits
- * @param routes request classes by path; others go by HTTP method
+ * @param serverGroup server group in the platform's machine list
+ * @param deadlineMillis maximum time that a caller waits
+ * @param routes request classes by path; the HTTP method decides for other paths
  */
 public record ServiceSettings(
     @NotBlank String serverGroup,
@@ -23,20 +23,23 @@
   }
 
   /**
-   * Request class of one path.
+   * Request class of a path prefix.
    *
-   * @param path path prefix below the service
-   * @param requestClass whether requests on it may be repeated
+   * @param path path prefix within the service
+   * @param requestClass whether requests on the path may be repeated
    */
   public record Route(@NotBlank String path, @NotNull RequestClass requestClass) {}
 
-  /** Whether a request may be sent again after it may have run. */
+  /** Whether a request may be retried after it may have run. */
   public enum RequestClass {
     REPEATABLE,
     AT_MOST_ONCE
   }
 
-  /** Class of a request by its path, else by the semantics of its method (RFC 9110, 9.2.2). */
+  /**
+   * Returns the class of a request by its path or, if no route matches, by the semantics of its
+   * method (RFC 9110, 9.2.2).
+   */
   public RequestClass classOf(String method, String path) {
     for (Route route : routes) {
       if (path.startsWith(route.path())) {
--- a/core/src/main/java/org/passhaven/core/configuration/TrainerSettings.java
+++ b/core/src/main/java/org/passhaven/core/configuration/TrainerSettings.java
@@ -6,14 +6,14 @@
 import jakarta.validation.constraints.NotNull;
 
 /**
- * A trainer and how its samples are made.
+ * Settings of a trainer: how its samples are generated and scored.
  *
  * @param model name of a model document
- * @param stalenessBound most weight versions by which a delivered sample may be older than the
- *     trainer
- * @param shards number of shards that a step is split over
- * @param priority higher goes first on shared engines
- * @param objective what counts most for this trainer
+ * @param stalenessBound maximum number of weight versions by which a delivered sample may lag
+ *     behind the trainer
+ * @param shards number of shards that a step is split into
+ * @param priority priority on shared engines; higher values go first
+ * @param objective optimization goal of the trainer
  * @param scorer name of a service document that scores samples; empty for none
  */
 public record TrainerSettings(
@@ -32,11 +32,13 @@
     scorer = scorer == null ? "" : scorer;
   }
 
-  /** What a trainer weighs most. */
+  /** Optimization goal of a trainer. */
   public enum Objective {
-    /** Begin the next step's samples as soon as engines are free. */
+    /** Minimize idle time: start the next step's samples as soon as engines are free. */
     IDLE_TIME,
-    /** Begin them only once the weights that the step trains on are out. */
+    /**
+     * Minimize staleness: start them only after the weights that the step trains on are published.
+     */
     STALENESS
   }
 }
--- a/core/src/main/java/org/passhaven/core/configuration/package-info.java
+++ b/core/src/main/java/org/passhaven/core/configuration/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Operators' configuration: typed documents, whole-file checks and the fold of accepted revisions.
- */
+/** Operators' configuration: typed documents, validation and the log of accepted revisions. */
 package org.passhaven.core.configuration;
--- a/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
@@ -17,6 +17,7 @@
 import org.passhaven.protocol.NodeId;
 import org.passhaven.protocol.RecordId;
 
+/** Guards against accepting invalid configurations and conflicting changes. */
 class ConfigurationTest {
   private static final String MODEL = "kind: model\nname: m\nengineGroup: g\n";
   private static final String TRAINER = "kind: trainer\nname: t\nmodel: m\nstalenessBound: 2\n";
@@ -40,7 +41,7 @@
   }
 
   @Test
-  void oneWrongFileRefusesAllWithEveryError() {
+  void anInvalidFileRejectsAllFilesWithEveryError() {
     List<String> errors =
         errorsOf(
             MODEL,
@@ -54,14 +55,14 @@
   }
 
   @Test
-  void duplicateNamesAndUnknownKeysAreRefused() {
+  void duplicateNamesAndUnknownKeysAreRejected() {
     assertThat(errorsOf(MODEL, MODEL), hasItem(containsString("model/m is defined twice")));
     assertThat(errorsOf(MODEL + "colour: red\n"), hasItem(containsString("colour")));
     assertThat(errorsOf(MODEL + "name: n\n").size(), greaterThan(0));
   }
 
   @Test
-  void serviceWithoutBackEndIsRefused() {
+  void serviceWithoutServerGroupIsRejected() {
     assertThat(
         errorsOf("kind: service\nname: s\ndeadlineMillis: 10\n"),
         hasItem(containsString("service/s: serverGroup")));
@@ -75,9 +76,9 @@
         hasItem(containsString("trainer/u: model: trainer/t trains this model already")));
   }
 
-  /** Whatever a file holds, it is taken or refused with errors; nothing else is thrown. */
+  /** Any content is either accepted or rejected with errors; no other exception is thrown. */
   @Property(tries = 300, seed = "20261202")
-  boolean anyTextIsTakenOrRefused(@ForAll String text) {
+  boolean anyTextIsAcceptedOrRejected(@ForAll String text) {
     try {
       parser.parse(List.of(new SourceFile("any.yaml", text)));
       return true;
@@ -87,7 +88,7 @@
   }
 
   @Test
-  void ofTwoRacingOperatorsTheFirstInTheLogWins() {
+  void ofTwoConcurrentChangesTheFirstInTheLogWins() {
     ConfigurationLog log = new ConfigurationLog();
     ConfigurationDocument first = new ConfigurationDocument("model/m", "{}");
     ConfigurationDocument second = new ConfigurationDocument("model/n", "{}");
