--- a/core/src/main/java/org/passhaven/core/connection/ConnectionTrust.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionTrust.java
@@ -7,34 +7,34 @@
 import java.util.Set;
 
 /**
- * Which connections that were kept open may be used for another call. A connection can go silent
- * for good without being closed, and usually not alone: a call that gets no answer over one puts in
- * doubt those to the same address that were not heard since, and silence at two addresses, with
- * nothing heard over any older connection, puts in doubt all of this node's. A connection over
- * which something comes is out of doubt. Times in monotonic milliseconds. Not thread-safe.
+ * Decides which idle keep-alive connections may be reused. Network failures can silence connections
+ * without closing them, often several at once. A call without a response therefore makes all
+ * connections to its address suspect that received no data since; silence at two addresses, with no
+ * data on any older connection, makes all connections of this node suspect. A connection that
+ * receives data is trusted again. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ConnectionTrust {
   /**
-   * Silences that lie further apart are not one event. Above the time in which a node makes calls
-   * to two addresses, below that in which slow servers alone would add up.
+   * Silences within this time are treated as one event. Long enough for a node to make calls to two
+   * addresses, but too short for unrelated slow servers to count as an outage.
    */
-  private static final long TOGETHER_MILLIS = 1_000;
+  private static final long SAME_EVENT_MILLIS = 1_000;
 
-  private static final int ADDRESSES_ENOUGH = 2;
-  private static final long NEVER = Long.MIN_VALUE;
+  private static final int MIN_SILENT_ADDRESSES = 2;
+  private static final long NEVER_MILLIS = Long.MIN_VALUE;
   private final Set<Connection> open = new HashSet<>();
-  private final Map<String, Long> doubtedUntil = new HashMap<>();
+  private final Map<String, Long> silentSinceMillisByAddress = new HashMap<>();
   private final Map<String, Silence> silences = new HashMap<>();
-  private long allDoubtedUntil = NEVER;
+  private long allSilentSinceMillis = NEVER_MILLIS;
 
-  private record Silence(long sinceMillis, long seenAtMillis) {}
+  private record Silence(long sinceMillis, long detectedAtMillis) {}
 
-  /** One connection that is open. */
+  /** An open connection. */
   public static final class Connection {
     private final String address;
     private final long openedAtMillis;
     private long heardAtMillis;
-    private boolean hasAnswered;
+    private boolean hasReceivedData;
 
     private Connection(String address, long nowMillis) {
       this.address = Objects.requireNonNull(address, "address");
@@ -42,81 +42,89 @@
       this.heardAtMillis = nowMillis;
     }
 
-    /** What is at its other end. */
+    /** Returns the remote address. */
     public String address() {
       return address;
     }
 
-    /** When something last came over it, or it was opened. */
+    /** Returns when data was last received, or when the connection was opened. */
     public long heardAtMillis() {
       return heardAtMillis;
     }
 
-    /** Whether it was open before a call was made, or has answered one. */
+    /** Returns whether the connection was opened before a call began or has received data. */
     public boolean isKept(long beganMillis) {
-      return hasAnswered || openedAtMillis < beganMillis;
+      return hasReceivedData || openedAtMillis < beganMillis;
     }
   }
 
-  /** A connection was opened. */
+  /** Registers a newly opened connection. */
   public Connection onOpened(String address, long nowMillis) {
     Connection opened = new Connection(address, nowMillis);
     open.add(opened);
     return opened;
   }
 
-  /** Something came over a connection. */
+  /** Records that data was received on a connection. */
   public void onHeard(Connection connection, long nowMillis) {
     connection.heardAtMillis = nowMillis;
-    connection.hasAnswered = true;
+    connection.hasReceivedData = true;
   }
 
-  /** A connection is closed. */
+  /** Removes a closed connection. */
   public void onClosed(Connection closed) {
     open.remove(closed);
     if (open.stream().noneMatch(other -> other.address.equals(closed.address))) {
-      doubtedUntil.remove(closed.address);
+      silentSinceMillisByAddress.remove(closed.address);
     }
   }
 
-  /** Whether another call may go over a connection. */
+  /** Returns whether a connection may be used for another call. */
   public boolean isTrusted(Connection connection) {
-    long doubted = doubtedUntil.getOrDefault(connection.address, NEVER);
-    return connection.heardAtMillis > Math.max(doubted, allDoubtedUntil);
+    long silentSinceMillis =
+        silentSinceMillisByAddress.getOrDefault(connection.address, NEVER_MILLIS);
+    return connection.heardAtMillis > Math.max(silentSinceMillis, allSilentSinceMillis);
   }
 
   /**
-   * A call got no answer over a connection, at least not for a time in which one usually comes.
+   * Records that a call received no response on a connection within the usual time.
    *
-   * @param beganMillis when the call was made: a connection that was opened for it and never
-   *     answered tells nothing of others, nobody may be there at all
-   * @param sinceMillis when the call was sent, or something last came
-   * @return whether all connections of this node are in doubt from now on
+   * @param beganMillis when the call began; a connection that was opened for the call and never
+   *     received data is ignored, since the remote host may be down
+   * @param sinceMillis when the call was sent or data was last received
+   * @return whether this call has made all connections of this node suspect
    */
   public boolean onSilent(
       Connection connection, long beganMillis, long sinceMillis, long nowMillis) {
     if (!connection.isKept(beganMillis)) {
       return false;
     }
-    doubtedUntil.merge(connection.address, sinceMillis, Math::max);
-    if (sinceMillis <= allDoubtedUntil) {
-      // The same event, of which a call that waits longer hears later.
+    silentSinceMillisByAddress.merge(connection.address, sinceMillis, Math::max);
+    if (sinceMillis <= allSilentSinceMillis) {
+      // A call with a longer timeout reports the same event again.
       return false;
     }
-    silences.values().removeIf(silence -> nowMillis - silence.seenAtMillis > TOGETHER_MILLIS);
+    silences.values().removeIf(silence -> nowMillis - silence.detectedAtMillis > SAME_EVENT_MILLIS);
     silences.put(connection.address, new Silence(sinceMillis, nowMillis));
-    if (silences.size() < ADDRESSES_ENOUGH || isAnyOldOneHeard()) {
+    if (silences.size() < MIN_SILENT_ADDRESSES || hasOlderConnectionReceivedData()) {
       return false;
     }
     silences.clear();
-    allDoubtedUntil = nowMillis - 1;
+    allSilentSinceMillis = nowMillis - 1;
     return true;
   }
 
-  /** Whether a connection older than the first silence was heard after the last one began. */
-  private boolean isAnyOldOneHeard() {
-    long first = silences.values().stream().mapToLong(Silence::sinceMillis).min().orElse(NEVER);
-    long last = silences.values().stream().mapToLong(Silence::sinceMillis).max().orElse(NEVER);
-    return open.stream().anyMatch(old -> old.openedAtMillis < first && old.heardAtMillis > last);
+  /**
+   * Returns whether a connection older than the first silence received data after the last silence
+   * began.
+   */
+  private boolean hasOlderConnectionReceivedData() {
+    long first =
+        silences.values().stream().mapToLong(Silence::sinceMillis).min().orElse(NEVER_MILLIS);
+    long last =
+        silences.values().stream().mapToLong(Silence::sinceMillis).max().orElse(NEVER_MILLIS);
+    return open.stream()
+        .anyMatch(
+            connection -> connection.openedAtMillis < first && connection.heardAtMillis > last);
   }
 }
--- a/core/src/main/java/org/passhaven/core/connection/package-info.java
+++ b/core/src/main/java/org/passhaven/core/connection/package-info.java
@@ -1,2 +1,2 @@
-/** Which connections that were kept open may still be used. */
+/** Reuse of keep-alive connections. */
 package org.passhaven.core.connection;
