--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -11,55 +11,55 @@
 import org.passhaven.core.route.Route;
 
 /**
- * Decisions on one request: whether and where it is sent, sent again, or given up, and what may
- * then be said of it. Times in monotonic milliseconds. Not thread-safe.
+ * Decides on the attempts of one request: which server to send it to, whether to retry or hedge it,
+ * and when it has failed. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ForwardPlan {
-  private static final int MOST_REFUSALS = 6;
-  private static final double HEDGE_PART_OF_TARGET = 0.6;
-  private static final long LEAST_HEDGE_MILLIS = 100;
-  private static final long LEAST_USEFUL_MILLIS = 20;
+  private static final int MAX_REFUSALS = 6;
+  private static final double HEDGE_DELAY_FRACTION_OF_TARGET = 0.6;
+  private static final long MIN_HEDGE_DELAY_MILLIS = 100;
+  private static final long MIN_ATTEMPT_MILLIS = 20;
 
-  /** What an attempt came to. */
+  /** Outcome of an attempt. */
   public enum Outcome {
-    /** The server succeeded. */
+    /** The server returned a successful response. */
     SUCCESS,
-    /** The server did not run the request, or was not reached. */
+    /** The server did not run the request or was not reached. */
     NOT_RUN,
-    /** The server ran it and failed: a 500 or the like. */
+    /** The server ran the request and failed, such as with status 500. */
     SERVER_ERROR,
-    /** The server answered it for good, though not with success. */
+    /** The server returned an unsuccessful response that must not be retried. */
     FINAL,
-    /** It may have run. */
+    /** The request may have run. */
     UNKNOWN
   }
 
-  /** What is to be done after an attempt has ended. */
+  /** Next step after an attempt has ended. */
   public enum Step {
-    /** Hand the attempt's answer to the caller. */
+    /** Return the attempt's response to the caller. */
     DELIVER,
-    /** Send the request to another server. */
+    /** Retry the request on another server. */
     TRY_NEXT,
-    /** Another attempt is still under way. */
+    /** Wait for another attempt in progress. */
     WAIT,
-    /** Nothing more can be done. */
+    /** Fail the request. */
     GIVE_UP
   }
 
   private final Route route;
   private final boolean mayRepeat;
   private final long deadlineMillis;
-  private final Set<ServerStart> tried = new HashSet<>();
-  private int mayHaveRun;
+  private final Set<ServerStart> triedServers = new HashSet<>();
+  private int possibleRuns;
   private int refusals;
   private int inProgress;
   private int serverErrors;
-  private long lostMillis;
+  private long uncountedMillis;
 
   /**
    * Creates the plan of one request.
    *
-   * @param deadlineMillis when the caller or the route stops waiting
+   * @param deadlineMillis time at which the caller or the route times out
    */
   public ForwardPlan(Route route, long deadlineMillis) {
     this.route = Objects.requireNonNull(route, "route");
@@ -67,83 +67,91 @@
     this.deadlineMillis = deadlineMillis;
   }
 
-  /** When the request is given up. */
+  /** Returns the time at which the request times out. */
   public long deadlineMillis() {
     return deadlineMillis;
   }
 
   /**
-   * So much of the caller's time may be gone without having been counted. What is under way goes
-   * on, its answer may still come in time; nothing new is sent in time that may not be there.
+   * Records time that the monotonic clock may have missed, such as while the machine was suspended.
+   * It reduces the time left for new attempts; attempts in progress continue.
    */
   public void onTimeLost(long millis) {
-    lostMillis = Math.max(lostMillis, millis);
+    uncountedMillis = Math.max(uncountedMillis, millis);
   }
 
-  /** Time that a server may take for the request now. */
+  /** Returns the time left for a new attempt. */
   public long leftMillis(long nowMillis) {
-    return deadlineMillis - lostMillis - nowMillis;
+    return deadlineMillis - uncountedMillis - nowMillis;
   }
 
-  /** Whether so much time is left that a server could still answer. */
+  /** Returns whether enough time is left for a new attempt. */
   public boolean hasTimeLeft(long nowMillis) {
-    return leftMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
+    return leftMillis(nowMillis) >= MIN_ATTEMPT_MILLIS;
   }
 
-  /** Whether the request was sent to a server. */
+  /** Returns whether the request was sent to a server. */
   public boolean hasTried(ServerStart server) {
-    return tried.contains(server);
+    return triedServers.contains(server);
   }
 
-  /** The server to send to now; empty if there is none or the attempts are used up. */
+  /**
+   * Chooses the server for the next attempt and counts the attempt as in progress; empty if there
+   * is no server or no attempt is left.
+   */
   public Optional<ServerEntry> next(
       Collection<ServerEntry> servers, ServerPicker picker, long nowMillis) {
-    boolean mayGo =
-        mayHaveRun + inProgress < Math.max(1, route.mostAttempts())
-            && refusals < MOST_REFUSALS
+    boolean maySend =
+        possibleRuns + inProgress < Math.max(1, route.mostAttempts())
+            && refusals < MAX_REFUSALS
             && hasTimeLeft(nowMillis)
-            && (mayRepeat || (mayHaveRun == 0 && inProgress == 0));
-    if (!mayGo) {
+            && (mayRepeat || (possibleRuns == 0 && inProgress == 0));
+    if (!maySend) {
       return Optional.empty();
     }
-    Optional<ServerEntry> fresh = picker.pick(servers, tried, nowMillis);
+    Optional<ServerEntry> untried = picker.pick(servers, triedServers, nowMillis);
     Optional<ServerEntry> chosen =
-        fresh.isPresent() || inProgress > 0 ? fresh : picker.pick(servers, Set.of(), nowMillis);
+        untried.isPresent() || inProgress > 0 ? untried : picker.pick(servers, Set.of(), nowMillis);
     chosen.ifPresent(
         server -> {
-          tried.add(server.start());
+          triedServers.add(server.start());
           inProgress++;
         });
     return chosen;
   }
 
-  /** How long an attempt may be silent before another one begins beside it; empty for never. */
+  /**
+   * Returns the delay after which a hedged attempt is started, or empty if the request must not be
+   * hedged.
+   */
   public Optional<Long> hedgeAfterMillis() {
     if (!mayRepeat || route.mostAttempts() < 2) {
       return Optional.empty();
     }
     return Optional.of(
-        Math.max(LEAST_HEDGE_MILLIS, (long) (route.targetMillis() * HEDGE_PART_OF_TARGET)));
+        Math.max(
+            MIN_HEDGE_DELAY_MILLIS,
+            (long) (route.targetMillis() * HEDGE_DELAY_FRACTION_OF_TARGET)));
   }
 
-  /** An attempt has ended. */
+  /** Records the outcome of an attempt and returns the next step. */
   public Step onEnded(Outcome outcome, long nowMillis) {
     inProgress--;
     switch (outcome) {
       case SUCCESS, FINAL -> {
-        mayHaveRun++;
+        possibleRuns++;
         return Step.DELIVER;
       }
       case NOT_RUN -> refusals++;
       case SERVER_ERROR -> {
-        mayHaveRun++;
+        possibleRuns++;
         serverErrors++;
       }
-      case UNKNOWN -> mayHaveRun++;
+      case UNKNOWN -> possibleRuns++;
     }
-    boolean attemptsLeft = mayHaveRun + inProgress < Math.max(1, route.mostAttempts());
-    boolean repeatable = mayRepeat || mayHaveRun == 0;
-    if (attemptsLeft && repeatable && hasTimeLeft(nowMillis) && refusals < MOST_REFUSALS) {
+    boolean attemptsLeft = possibleRuns + inProgress < Math.max(1, route.mostAttempts());
+    boolean repeatable = mayRepeat || possibleRuns == 0;
+    if (attemptsLeft && repeatable && hasTimeLeft(nowMillis) && refusals < MAX_REFUSALS) {
       return Step.TRY_NEXT;
     }
     if (inProgress > 0) {
@@ -152,17 +160,17 @@
     return outcome == Outcome.SERVER_ERROR ? Step.DELIVER : Step.GIVE_UP;
   }
 
-  /** Whether no server has run the request or may still run it. */
+  /** Returns whether it is certain that no server has run or will run the request. */
   public boolean hasSurelyNotRun() {
-    return mayHaveRun == 0 && inProgress == 0;
+    return possibleRuns == 0 && inProgress == 0;
   }
 
-  /** Attempts that are under way. */
+  /** Returns the number of attempts in progress. */
   public int inProgress() {
     return inProgress;
   }
 
-  /** Answers of 500 and the like so far. */
+  /** Returns the number of server errors so far. */
   public int serverErrors() {
     return serverErrors;
   }
--- a/core/src/main/java/org/passhaven/core/forward/package-info.java
+++ b/core/src/main/java/org/passhaven/core/forward/package-info.java
@@ -1,2 +1,2 @@
-/** How one request is brought to servers: attempts, hedging, what the caller is told. Pure. */
+/** Forwarding of a request to servers: attempts, retries and hedging. Performs no I/O. */
 package org.passhaven.core.forward;
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -17,6 +17,7 @@
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.ServiceShare;
 
+/** Guards against duplicate runs, wrong retries and late attempts of forwarded requests. */
 class ForwardPlanTest {
   private final ServerHealth health = new ServerHealth();
   private final ServerPicker picker = new ServerPicker(health, "z");
@@ -61,7 +62,7 @@
   }
 
   @Test
-  void aRequestThatMayRunOnceIsNotSentAgainOnceItMayHaveRun() {
+  void anAtMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
     ForwardPlan plan = plan(Route.Kind.AT_MOST_ONCE, 3);
     next(plan, 0);
     assertThat(plan.onEnded(Outcome.NOT_RUN, 5), is(Step.TRY_NEXT));
@@ -71,7 +72,7 @@
   }
 
   @Test
-  void aRefusalByAllServersIsKnownNotToHaveRun() {
+  void aRequestRefusedByAllServersHasDefinitelyNotRun() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 2);
     Step last = Step.TRY_NEXT;
     for (int tries = 0; last == Step.TRY_NEXT; tries++) {
@@ -84,7 +85,7 @@
   }
 
   @Test
-  void neverMoreServersRunItThanAllowedEvenBesideEachOther() {
+  void concurrentAttemptsDoNotExceedTheMaximum() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 2);
     next(plan, 0);
     next(plan, 120);
@@ -95,7 +96,7 @@
   }
 
   @Test
-  void theLastServerErrorIsHandedOn() {
+  void theLastServerErrorIsDelivered() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 1);
     next(plan, 0);
     assertThat(plan.onEnded(Outcome.SERVER_ERROR, 10), is(Step.DELIVER));
@@ -103,7 +104,7 @@
   }
 
   @Test
-  void nothingIsSentWhenTheTimeIsOver() {
+  void noAttemptStartsTooCloseToTheDeadline() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 3);
     next(plan, 0);
     assertThat(plan.onEnded(Outcome.UNKNOWN, 995), is(Step.GIVE_UP));
@@ -111,13 +112,13 @@
   }
 
   @Test
-  void requestsThatMayRunOnceAreNeverHedged() {
+  void atMostOnceRequestsAreNeverHedged() {
     assertThat(plan(Route.Kind.AT_MOST_ONCE, 3).hedgeAfterMillis().isPresent(), is(false));
     assertThat(plan(Route.Kind.REPEATABLE, 3).hedgeAfterMillis(), equalTo(Optional.of(120L)));
   }
 
   @Test
-  void aServerThatFailedIsLeftOutWhileThereAreOthers() {
+  void aFailedServerIsAvoidedWhileThereAreOthers() {
     health.onFailure(ServerStart.of("a"), 0);
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 10), equalTo(Optional.of("b")));
     health.onFailure(ServerStart.of("b"), 0);
@@ -135,7 +136,7 @@
   }
 
   @Test
-  void aServerThatTakesManyTimesAsLongIsChosenLast() {
+  void aMuchSlowerServerIsChosenLast() {
     health.onSuccess(ServerStart.of("a"), 400, 0);
     health.onSuccess(ServerStart.of("b"), 40, 0);
     health.onSuccess(ServerStart.of("c"), 40, 0);
@@ -143,7 +144,7 @@
   }
 
   @Test
-  void nothingNewIsSentInTimeThatMayBeGoneAndWhatIsUnderWayGoesOn() {
+  void uncountedTimePreventsNewAttemptsButNotThoseInProgress() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 3);
     assertThat(next(plan, 0), equalTo(Optional.of("a")));
     plan.onTimeLost(600);
