--- a/core/src/main/java/org/passhaven/core/memory/BodyUse.java
+++ b/core/src/main/java/org/passhaven/core/memory/BodyUse.java
@@ -1,22 +1,24 @@
 package org.passhaven.core.memory;
 
-/** What a node holds a body for. Each use has a share of the budget reserved for it. */
+/**
+ * Purpose for which a node holds a body in memory. Each purpose has a reserved share of the budget.
+ */
 public enum BodyUse {
-  /** Bodies that callers send, until their requests are answered. */
+  /** Request bodies, held until the request is answered. */
   REQUEST(1.0 / 8),
-  /** Answers of servers, until their callers have taken them. */
+  /** Response bodies, held until the caller has read them. */
   ANSWER(1.0 / 8),
-  /** Submissions and results of jobs: large, but few at a time. */
+  /** Job submissions and results: large, but few at a time. */
   JOB(1.0 / 16);
 
-  private final double ownShare;
+  private final double reservedShare;
 
   BodyUse(double ownShare) {
-    this.ownShare = ownShare;
+    this.reservedShare = ownShare;
   }
 
-  /** Part of the budget reserved for this use. */
-  double ownShare() {
-    return ownShare;
+  /** Returns the fraction of the budget reserved for this purpose. */
+  double reservedShare() {
+    return reservedShare;
   }
 }
--- a/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
+++ b/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
@@ -4,44 +4,44 @@
 import java.util.Map;
 
 /**
- * Bounds the bytes of large bodies that were sent to each server and have no answer yet: a server
- * that runs out of memory fails the requests of all callers. Small bodies are not counted, since
- * the server's places bound them. Not thread-safe.
+ * Limits the bytes of large request bodies in flight to each server, since a server that runs out
+ * of memory fails the requests of all callers. Small bodies are not counted: the server's slots
+ * limit them. Not thread-safe.
  */
 public final class InFlightBytes {
   /**
-   * Most bytes in flight from this node to one server, unless a single body is larger. Allows for a
-   * few bodies of the usual size; many nodes may send to a server at the same time.
+   * Maximum number of bytes in flight from this node to one server, unless a single body is larger.
+   * Many nodes may send to a server at the same time.
    */
   public static final long MAX_BYTES_PER_SERVER = 4L << 20;
 
   private final Map<String, Long> bytesByServer = new HashMap<>();
 
-  /** Whether a body of this size is counted. */
+  /** Returns whether a body of this size is counted. */
   public static boolean isCounted(long bytes) {
     return bytes > ByteBudget.SMALL_BODY_BYTES;
   }
 
   /**
-   * Counts a body that is sent now; false if it has to wait. A body always goes if no other is in
-   * flight.
+   * Counts a body as in flight, or returns false if it has to wait. A body is always accepted if no
+   * other is in flight to the server.
    */
   public boolean take(String server, long bytes) {
-    long underWay = bytesByServer.getOrDefault(server, 0L);
-    if (underWay > 0 && underWay + bytes > MAX_BYTES_PER_SERVER) {
+    long inFlightBytes = bytesByServer.getOrDefault(server, 0L);
+    if (inFlightBytes > 0 && inFlightBytes + bytes > MAX_BYTES_PER_SERVER) {
       return false;
     }
-    bytesByServer.put(server, underWay + bytes);
+    bytesByServer.put(server, inFlightBytes + bytes);
     return true;
   }
 
-  /** A body that was counted is answered, or its connection is closed. */
+  /** Removes a counted body after its response or the end of its connection. */
   public void release(String server, long bytes) {
     bytesByServer.computeIfPresent(
-        server, (key, underWay) -> underWay > bytes ? underWay - bytes : null);
+        server, (key, inFlightBytes) -> inFlightBytes > bytes ? inFlightBytes - bytes : null);
   }
 
-  /** Bytes in flight to all servers. */
+  /** Returns the number of bytes in flight to all servers. */
   public long allBytes() {
     return bytesByServer.values().stream().mapToLong(Long::longValue).sum();
   }
--- a/core/src/main/java/org/passhaven/core/memory/package-info.java
+++ b/core/src/main/java/org/passhaven/core/memory/package-info.java
@@ -1,2 +1,2 @@
-/** How many bytes a node may hold for callers and servers that read slowly. Pure. */
+/** Memory limits for request and response bodies. Performs no I/O. */
 package org.passhaven.core.memory;
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.memory.ByteBudget.Reservation;
 
-/** The budget under bodies of slow callers and servers, beside ordinary requests. */
+/** Guards against running out of memory and against large bodies blocking small ones. */
 class ByteBudgetTest {
   private static final long MB = 1L << 20;
   private static final int ORDINARY_BYTES = 800;
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void theBudgetIsAPartOfTheLessOfMemoryAndHeap() {
+  void theBudgetIsTheSmallerOfTheMemoryAndHeapFractions() {
     assertThat(budget.totalBytes(), equalTo(48 * MB));
     assertThat(ByteBudget.of(682 * MB, 128 * MB).totalBytes(), equalTo(48 * MB));
     assertThat(ByteBudget.of(120 * MB, 128 * MB).totalBytes(), equalTo(20 * MB));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aThousandUnreadAnswersLeaveRoomForOrdinaryCallersAndForOtherUses() {
+  void aThousandUnreadResponsesLeaveRoomForOtherRequestsAndUses() {
     List<Reservation> unread = fill(BodyUse.ANSWER, 200_000);
     assertThat(unread.size(), lessThan(1_000));
     assertThat(unread.size(), greaterThan(100));
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void eachUseKeepsItsShareWhenAnotherOneTakesAllItCan() {
+  void eachUseKeepsItsShareWhenAnotherTakesAllItCan() {
     for (BodyUse greedy : BodyUse.values()) {
       List<Reservation> taken = fill(greedy, 100_000);
       for (BodyUse other : BodyUse.values()) {
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void smallBodiesMayTakeTheLastByteAndThenAreRefusedToo() {
+  void smallBodiesMayUseTheWholeBudgetAndAreThenRefused() {
     fill(BodyUse.REQUEST, MB);
     List<Reservation> small = fill(BodyUse.REQUEST, ByteBudget.SMALL_BODY_BYTES);
     assertThat(small.size(), greaterThan(100));
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void aBodyThatOutgrowsSmallSizeIsTreatedAsALargeOne() {
+  void aBodyThatOutgrowsTheSmallSizeIsTreatedAsLarge() {
     fill(BodyUse.REQUEST, MB);
     fill(BodyUse.REQUEST, 20_000);
     Reservation growing = held(BodyUse.REQUEST, ByteBudget.SMALL_BODY_BYTES);
@@ -107,12 +107,12 @@
 
   @Test
   void eachReservationIsReleasedOnceAndHoldsNothingAfterwards() {
-    int[] told = new int[1];
-    budget.whenReleased(() -> told[0]++);
+    int[] releases = new int[1];
+    budget.whenReleased(() -> releases[0]++);
     Reservation body = held(BodyUse.REQUEST, MB);
     body.release();
     body.release();
-    assertThat(told[0], equalTo(1));
+    assertThat(releases[0], equalTo(1));
     assertThat(budget.heldBytes(), equalTo(0L));
     assertThat(body.grow(1), is(false));
     body.take(1);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void countsAreNeverNegativeNorLeakWhateverComesAndGoes() {
+  void countsNeverLeakNorBecomeNegativeUnderRandomUse() {
     Random random = new Random(39);
     List<Reservation> open = new ArrayList<>();
     for (int i = 0; i < 20_000; i++) {
@@ -130,12 +130,12 @@
         next.grow(random.nextInt(8) == 0 ? random.nextInt(4 << 20) : random.nextInt(2_000));
         open.add(next);
       } else {
-        Reservation some = open.get(random.nextInt(open.size()));
+        Reservation existing = open.get(random.nextInt(open.size()));
         if (random.nextBoolean()) {
-          some.grow(random.nextInt(100_000));
+          existing.grow(random.nextInt(100_000));
         } else {
-          some.release();
-          open.remove(some);
+          existing.release();
+          open.remove(existing);
         }
       }
       assertThat(budget.heldBytes(), lessThanOrEqualTo(budget.totalBytes()));
--- a/core/src/test/java/org/passhaven/core/memory/InFlightBytesTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/InFlightBytesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bounds of large bodies to a server that does not read them. */
+/** Guards against overloading the memory of a server with large request bodies. */
 class InFlightBytesTest {
   private static final long HALF = InFlightBytes.MAX_BYTES_PER_SERVER / 2;
   private final InFlightBytes inFlight = new InFlightBytes();
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aBodyLargerThanTheBoundGoesAlone() {
+  void aBodyLargerThanTheBoundIsSentAlone() {
     assertThat(inFlight.take("a", 8 * HALF), is(true));
     assertThat(inFlight.take("a", 1), is(false));
     inFlight.release("a", 8 * HALF);
