--- a/core/src/main/java/org/passhaven/core/placement/Member.java
+++ b/core/src/main/java/org/passhaven/core/placement/Member.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Something that work can be placed on: its name and its zone. */
+/** A placement target, such as a node, with its name and zone. */
 public record Member(String name, String zone) {
   public Member {
     Objects.requireNonNull(name, "name");
--- a/core/src/main/java/org/passhaven/core/placement/Partition.java
+++ b/core/src/main/java/org/passhaven/core/placement/Partition.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * Splits members among a fixed number of parts: each member belongs to the part with the heaviest
- * weight for it, so a member that comes or goes changes its own part only.
+ * Divides members among a fixed number of partitions by rendezvous hashing: each member belongs to
+ * the partition with the highest weight, so adding or removing a member moves no other member.
  */
 public final class Partition {
   private Partition() {}
 
-  /** Members of one part, by name. */
-  public static List<Member> membersOf(int part, int parts, Collection<Member> members) {
+  /** Returns the members of one partition, ordered by name. */
+  public static List<Member> membersOf(int partition, int partitions, Collection<Member> members) {
     return members.stream()
-        .filter(member -> partOf(member, parts) == part)
+        .filter(member -> partOf(member, partitions) == partition)
         .sorted(java.util.Comparator.comparing(Member::name))
         .toList();
   }
 
-  /** The part that a member belongs to. */
-  public static int partOf(Member member, int parts) {
+  /** Returns the partition that a member belongs to. */
+  public static int partOf(Member member, int partitions) {
     int heaviest = 0;
     long weight = 0;
-    for (int part = 0; part < parts; part++) {
-      long candidate = Rendezvous.weight(member.name(), Integer.toString(part));
-      if (part == 0 || Long.compareUnsigned(candidate, weight) > 0) {
-        heaviest = part;
+    for (int partition = 0; partition < partitions; partition++) {
+      long candidate = Rendezvous.weight(member.name(), Integer.toString(partition));
+      if (partition == 0 || Long.compareUnsigned(candidate, weight) > 0) {
+        heaviest = partition;
         weight = candidate;
       }
     }
--- a/core/src/main/java/org/passhaven/core/placement/Rendezvous.java
+++ b/core/src/main/java/org/passhaven/core/placement/Rendezvous.java
@@ -9,31 +9,30 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Rendezvous (highest random weight) placement: each member has a weight for each key, and the key
- * goes to the heaviest. A member that leaves moves only its own keys.
+ * Rendezvous (highest random weight) hashing: each key is placed on the member with the highest
+ * weight for it. Removing a member moves only its own keys.
  */
 public final class Rendezvous {
   private static final LongHashFunction HASH = LongHashFunction.xx3();
 
   private Rendezvous() {}
 
-  /** Members by falling weight for {@code key}; at most {@code count} of them. */
+  /** Returns up to {@code count} members in descending order of weight for {@code key}. */
   public static List<Member> rank(String key, Collection<Member> members, int count) {
     return ranked(key, members).stream().limit(count).map(Weighted::member).toList();
   }
 
   /**
-   * Members for replicas of {@code key}: by falling weight, but each zone once before any zone
-   * twice, so that the loss of a zone takes one of the first candidates only. The idea of selecting
-   * zones before nodes is that of the network-map placement paper; docs/DESIGN.md gives the
-   * measurement.
+   * Returns up to {@code count} members for replicas of {@code key}, in descending order of weight
+   * but with every zone used once before any zone is used again, so that the loss of a zone affects
+   * only one of the first candidates.
    */
   public static List<Member> rankAcrossZones(String key, Collection<Member> members, int count) {
     List<Weighted> remaining = new ArrayList<>(ranked(key, members));
     List<Member> chosen = new ArrayList<>();
     Set<String> usedZones = new HashSet<>();
     while (chosen.size() < count && !remaining.isEmpty()) {
-      int next = firstOutside(remaining, usedZones);
+      int next = firstOutsideZones(remaining, usedZones);
       if (next < 0) {
         usedZones.clear();
         next = 0;
@@ -45,12 +44,12 @@
     return chosen;
   }
 
-  /** Weight of one member for a key, as an unsigned number. */
+  /** Returns the weight of a member for a key, as an unsigned number. */
   public static long weight(String key, String member) {
     return HASH.hashLong(HASH.hashChars(key) ^ Long.rotateLeft(HASH.hashChars(member), 1));
   }
 
-  private static int firstOutside(List<Weighted> members, Set<String> zones) {
+  private static int firstOutsideZones(List<Weighted> members, Set<String> zones) {
     for (int i = 0; i < members.size(); i++) {
       if (!zones.contains(members.get(i).member().zone())) {
         return i;
--- a/core/src/main/java/org/passhaven/core/placement/package-info.java
+++ b/core/src/main/java/org/passhaven/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Rendezvous placement of work on members, spread over zones. */
+/** Placement of work on members by rendezvous hashing, with spreading over zones. */
 package org.passhaven.core.placement;
--- a/core/src/test/java/org/passhaven/core/placement/RendezvousTest.java
+++ b/core/src/test/java/org/passhaven/core/placement/RendezvousTest.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Guards against uneven placement and unnecessary moves of keys. */
 class RendezvousTest {
   private static final int KEYS = 4_000;
 
@@ -25,7 +26,7 @@
   }
 
   @Test
-  void memberThatLeavesMovesOnlyItsOwnKeys() {
+  void removingAMemberMovesOnlyItsOwnKeys() {
     List<Member> before = members(3, 4);
     List<Member> after = before.subList(1, before.size());
     int moved = 0;
@@ -52,7 +53,7 @@
   }
 
   @Test
-  void candidatesStandInDifferentZones() {
+  void candidatesAreInDifferentZones() {
     for (int key = 0; key < 100; key++) {
       Set<String> zones = new HashSet<>();
       List<Member> chosen = Rendezvous.rankAcrossZones("k" + key, members(3, 4), 3);
@@ -63,12 +64,12 @@
   }
 
   @Test
-  void moreCandidatesThanZonesAreFoundToo() {
+  void moreCandidatesThanZonesAreFound() {
     assertThat(new HashSet<>(Rendezvous.rankAcrossZones("k", members(2, 2), 4)), hasSize(4));
   }
 
   @Test
-  void partitionGivesEachMemberOnePart() {
+  void eachMemberBelongsToExactlyOnePartition() {
     List<Member> members = members(3, 8);
     Set<Member> all = new HashSet<>();
     int sum = 0;
