--- a/core/src/main/java/org/passhaven/core/route/RequestLimits.java
+++ b/core/src/main/java/org/passhaven/core/route/RequestLimits.java
@@ -1,7 +1,7 @@
 package org.passhaven.core.route;
 
-/** What a caller may send, in bytes, and how long its connection may rest, in milliseconds. */
+/** Limits on the size of callers' requests and the idle time of their connections. */
 public record RequestLimits(long mostHeaderBytes, long mostBodyBytes, long mostIdleMillis) {
-  /** Limits while no configuration names others. */
+  /** Limits used if the configuration sets none. */
   public static final RequestLimits DEFAULT = new RequestLimits(16_384, 33_554_432, 15_000);
 }
--- a/core/src/main/java/org/passhaven/core/route/RouteTable.java
+++ b/core/src/main/java/org/passhaven/core/route/RouteTable.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 import org.passhaven.core.tenant.TenantTable;
 
-/** All routes of one configuration version; immutable. */
+/** Immutable lookup table of the routes of one configuration version. */
 public final class RouteTable {
-  /** No configuration yet. */
+  /** Table used before any configuration is loaded. */
   public static final RouteTable EMPTY =
       new RouteTable(0, List.of(), RequestLimits.DEFAULT, TenantTable.NONE);
 
@@ -24,13 +24,15 @@
   private final Map<String, List<Route>> routesByHost = new HashMap<>();
   private final Set<String> services = new HashSet<>();
 
-  /** Creates the table of configuration {@code version}; zero stands for none. */
+  /** Creates the table of configuration {@code version}; zero if there is no configuration. */
   public RouteTable(long version, List<Route> routes, RequestLimits limits, TenantTable tenants) {
     this.version = version;
     this.limits = limits;
     this.tenants = Objects.requireNonNull(tenants, "tenants");
     for (Route route : routes) {
-      routesByHost.computeIfAbsent(hostKey(route.host()), key -> new ArrayList<>()).add(route);
+      routesByHost
+          .computeIfAbsent(normalizeHost(route.host()), key -> new ArrayList<>())
+          .add(route);
       route.shares().forEach(share -> services.add(share.service()));
     }
     Comparator<Route> longestFirst =
@@ -38,39 +40,39 @@
     routesByHost.values().forEach(list -> list.sort(longestFirst));
   }
 
-  /** Version of the configuration; zero if none is known. */
+  /** Returns the version of the configuration, or zero if there is none. */
   public long version() {
     return version;
   }
 
-  /** What callers may send. */
+  /** Returns the limits on requests. */
   public RequestLimits limits() {
     return limits;
   }
 
-  /** Who may call. */
+  /** Returns the tenants that may send requests. */
   public TenantTable tenants() {
     return tenants;
   }
 
-  /** Whether some route names a service; an entry of any other is no server to use. */
+  /** Returns whether any route uses a service; servers of other services are ignored. */
   public boolean names(String service) {
     return services.contains(service);
   }
 
-  /** Number of routes. */
+  /** Returns the number of routes. */
   public int size() {
     return routesByHost.values().stream().mapToInt(List::size).sum();
   }
 
   /**
-   * The route with the longest prefix that begins the path.
+   * Returns the route with the longest prefix that matches the path.
    *
-   * @param host as the caller names it, with or without a port
-   * @param uri path, perhaps with a query
+   * @param host host sent by the caller, with or without a port
+   * @param uri path with an optional query
    */
   public Optional<Route> find(String host, String uri) {
-    List<Route> routes = routesByHost.get(hostKey(host));
+    List<Route> routes = routesByHost.get(normalizeHost(host));
     if (routes == null) {
       return Optional.empty();
     }
@@ -79,7 +81,7 @@
     return routes.stream().filter(route -> path.startsWith(route.pathPrefix())).findFirst();
   }
 
-  private static String hostKey(String host) {
+  private static String normalizeHost(String host) {
     int colon = host.indexOf(':');
     return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
   }
--- a/core/src/main/java/org/passhaven/core/route/ShareRotation.java
+++ b/core/src/main/java/org/passhaven/core/route/ShareRotation.java
@@ -6,29 +6,32 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Deals a route's requests to its services so that each gets its weight's part, evenly spread
- * (smooth weighted round robin). Each node begins at a random place, so that many nodes with few
- * requests each keep the shares together. Not thread-safe.
+ * Distributes a route's requests over its services by smooth weighted round robin. Each node starts
+ * at a random position, so that many nodes with few requests each match the weights in total. Not
+ * thread-safe.
  */
 public final class ShareRotation {
-  private static final long MOST_FIRST_STEPS = 10_000;
+  private static final long MAX_INITIAL_STEPS = 10_000;
   private final IntUnaryOperator randomBelow;
   private final Map<String, Map<String, Long>> creditByRoute = new HashMap<>();
 
-  /** Creates a rotation; {@code randomBelow} gives a number from zero to below its argument. */
+  /**
+   * Creates a rotation; {@code randomBelow} returns a random number from zero (inclusive) to its
+   * argument (exclusive).
+   */
   public ShareRotation(IntUnaryOperator randomBelow) {
     this.randomBelow = Objects.requireNonNull(randomBelow, "randomBelow");
   }
 
-  /** The service that the next request of the route goes to. */
+  /** Returns the service for the next request of the route. */
   public String next(Route route) {
     if (route.shares().size() == 1) {
       return route.shares().get(0).service();
     }
-    return step(route, creditByRoute.computeIfAbsent(route.name(), name -> firstCredits(route)));
+    return step(route, creditByRoute.computeIfAbsent(route.name(), name -> initialCredits(route)));
   }
 
-  private static long total(Route route) {
+  private static long totalWeight(Route route) {
     return route.shares().stream().mapToLong(ServiceShare::weight).sum();
   }
 
@@ -40,14 +43,14 @@
         chosen = share;
       }
     }
-    credits.merge(chosen.service(), -total(route), Long::sum);
+    credits.merge(chosen.service(), -totalWeight(route), Long::sum);
     return chosen.service();
   }
 
-  /** Credits at a random place of the rotation's cycle. */
-  private Map<String, Long> firstCredits(Route route) {
+  /** Returns the credits at a random position of the rotation cycle. */
+  private Map<String, Long> initialCredits(Route route) {
     Map<String, Long> credits = new HashMap<>();
-    int cycle = (int) Math.max(1, Math.min(MOST_FIRST_STEPS, total(route)));
+    int cycle = (int) Math.max(1, Math.min(MAX_INITIAL_STEPS, totalWeight(route)));
     int steps = randomBelow.applyAsInt(cycle);
     for (int i = 0; i < steps; i++) {
       step(route, credits);
--- a/core/src/main/java/org/passhaven/core/route/package-info.java
+++ b/core/src/main/java/org/passhaven/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** Which service runs a request: hosts, path prefixes, shares of services. Pure. */
+/** Routing of requests to services by host, path prefix and weight. Performs no I/O. */
 package org.passhaven.core.route;
--- a/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.tenant.TenantTable;
 
+/** Guards against wrong route lookups and wrong distribution over services. */
 class RouteTableTest {
   static Route route(String name, String prefix, ServiceShare... shares) {
     return new Route(
@@ -43,7 +44,7 @@
   }
 
   @Test
-  void onlyServicesOfRoutesAreNamed() {
+  void onlyServicesOfRoutesAreUsed() {
     assertThat(table.names("s"), equalTo(true));
     assertThat(table.names("t"), equalTo(true));
     assertThat(table.names("u"), equalTo(false));
@@ -56,7 +57,7 @@
   }
 
   @Test
-  void theHostIsComparedWithoutCaseAndPort() {
+  void hostLookupIgnoresCaseAndPort() {
     assertThat(find("A.example:80", "/a/x?y=/a/b/"), equalTo(Optional.of("short")));
   }
 
@@ -68,7 +69,7 @@
   }
 
   @Test
-  void sharesAreKeptExactlyOverEachWholeRound() {
+  void requestsMatchTheWeightsExactlyOverWholeCycles() {
     Route split = route("r", "/r/", new ServiceShare("s", 90), new ServiceShare("t", 10));
     ShareRotation rotation = new ShareRotation(bound -> bound / 3);
     Map<String, Integer> counts = new HashMap<>();
@@ -79,7 +80,7 @@
   }
 
   @Test
-  void manyNodesWithOneRequestEachKeepTheSharesTogether() {
+  void manyNodesWithOneRequestEachMatchTheWeightsInTotal() {
     Route split = route("r", "/r/", new ServiceShare("s", 75), new ServiceShare("t", 25));
     int second = 0;
     for (int node = 0; node < 100; node++) {
