--- a/core/src/main/java/org/passhaven/core/routing/DispatchPolicy.java
+++ b/core/src/main/java/org/passhaven/core/routing/DispatchPolicy.java
@@ -1,12 +1,15 @@
 package org.passhaven.core.routing;
 
-/** How an owner chooses engines and the order of samples. */
+/** Policy by which a shard owner chooses engines and orders samples. */
 public enum DispatchPolicy {
   /**
-   * By room, prefix affinity and zone; the step that the trainer takes first; over-age work
-   * cancelled early.
+   * Chooses engines by free capacity, prefix affinity and zone, starts with the step that the
+   * trainer consumes first, and cancels stale samples early.
    */
   DEFAULT,
-  /** The plain baseline: engines in turn, full or not, samples in the order in which they came. */
+  /**
+   * Baseline for comparison: engines in round-robin order regardless of load, samples in order of
+   * arrival.
+   */
   BASELINE
 }
--- a/core/src/main/java/org/passhaven/core/routing/EnginePicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/EnginePicker.java
@@ -4,14 +4,15 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * Chooses engines for one round of dispatch over a fixed set of views. Counts what it hands out.
- * Not thread-safe; one picker a round.
+ * Chooses engines for one dispatch round over a fixed set of views, counting the sequences assigned
+ * so far. Not thread-safe; each round uses a new picker.
  */
 public interface EnginePicker {
   /**
-   * An engine among those that serve at least {@code oldestVersion}; empty if none takes more now.
+   * Returns an engine that serves at least {@code oldestVersion}, or empty if none accepts more
+   * sequences.
    *
-   * @param affinity engine that holds the prompt's prefix, or null
+   * @param affinity engine that has the prompt's prefix cached, or null
    */
   Optional<EngineView> pick(long oldestVersion, ServerId affinity);
 }
--- a/core/src/main/java/org/passhaven/core/routing/EngineView.java
+++ b/core/src/main/java/org/passhaven/core/routing/EngineView.java
@@ -4,16 +4,17 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * What a node knows of an engine when it chooses one.
+ * A node's current view of an engine, used for engine selection.
  *
  * @param id the engine
  * @param address host and port
- * @param zone its zone
- * @param incarnation its start, as last reported
- * @param version weight version that it serves, as last reported
- * @param capacity sequences that it runs at once
- * @param load sequences estimated to be on it now: those of others as reported, own ones as known
- * @param usable false if it leaves, is unreachable, or is left out after failures
+ * @param zone availability zone
+ * @param incarnation incarnation last reported
+ * @param version weight version last reported
+ * @param capacity number of sequences that the engine runs concurrently
+ * @param load estimated number of sequences now: those of other nodes as reported, plus those of
+ *     this node
+ * @param usable false if the engine is leaving, unreachable, or ejected after failures
  */
 public record EngineView(
     ServerId id,
@@ -28,7 +29,7 @@
     Objects.requireNonNull(id, "id");
   }
 
-  /** Sequences that it can take at once. */
+  /** Returns the number of further sequences that the engine can run. */
   public int room() {
     return usable ? Math.max(0, capacity - load) : 0;
   }
--- a/core/src/main/java/org/passhaven/core/routing/LeastLoadedPicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/LeastLoadedPicker.java
@@ -11,14 +11,14 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * Takes the engine with most room, an engine with the prompt's prefix or in the own zone first at
- * similar room.
+ * Picks the engine with the largest free fraction of its capacity, with a bonus for engines that
+ * have the prompt's prefix cached or are in the local zone.
  */
 public final class LeastLoadedPicker implements EnginePicker {
   private static final double LOCAL_ZONE_BONUS = 0.05;
   private static final double AFFINITY_BONUS = 0.25;
   private final List<EngineView> engines;
-  private final Map<ServerId, Integer> handedOut = new HashMap<>();
+  private final Map<ServerId, Integer> assigned = new HashMap<>();
   private final String localZone;
 
   /** Creates a picker; engines in {@code localZone} are preferred at similar load. */
@@ -31,20 +31,20 @@
   public Optional<EngineView> pick(long oldestVersion, ServerId affinity) {
     Optional<EngineView> chosen =
         engines.stream()
-            .filter(view -> view.version() >= oldestVersion && roomOf(view) > 0)
+            .filter(view -> view.version() >= oldestVersion && freeCapacityOf(view) > 0)
             .max(
-                Comparator.comparingDouble((EngineView view) -> attractiveness(view, affinity))
+                Comparator.comparingDouble((EngineView view) -> score(view, affinity))
                     .thenComparing(EngineView::id));
-    chosen.ifPresent(view -> handedOut.merge(view.id(), 1, Integer::sum));
+    chosen.ifPresent(view -> assigned.merge(view.id(), 1, Integer::sum));
     return chosen;
   }
 
-  private int roomOf(EngineView view) {
-    return view.room() - handedOut.getOrDefault(view.id(), 0);
+  private int freeCapacityOf(EngineView view) {
+    return view.room() - assigned.getOrDefault(view.id(), 0);
   }
 
-  private double attractiveness(EngineView view, ServerId affinity) {
-    double free = roomOf(view) / (double) view.capacity();
+  private double score(EngineView view, ServerId affinity) {
+    double free = freeCapacityOf(view) / (double) view.capacity();
     double zone = view.zone().equals(localZone) ? LOCAL_ZONE_BONUS : 0;
     return free + zone + (view.id().equals(affinity) ? AFFINITY_BONUS : 0);
   }
--- a/core/src/main/java/org/passhaven/core/routing/RoundRobinPicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/RoundRobinPicker.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import org.passhaven.protocol.ServerId;
 
-/** Takes usable engines in turn, whether they have room or not. */
+/** Picks usable engines in round-robin order, regardless of their load. */
 public final class RoundRobinPicker implements EnginePicker {
   private final List<EngineView> engines;
   private int next;
 
-  /** Creates a picker that goes on after {@code first} earlier choices. */
+  /** Creates a picker that continues after {@code first} earlier picks. */
   public RoundRobinPicker(Collection<EngineView> views, int first) {
     this.engines =
         views.stream()
--- a/core/src/main/java/org/passhaven/core/routing/ServicePicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/ServicePicker.java
@@ -7,15 +7,15 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * Chooses a service server for one request: least outstanding for its share, the local zone first
- * at equal load.
+ * Picks a service server for one request: the one with the fewest outstanding requests relative to
+ * its share, with a preference for the local zone.
  */
 public final class ServicePicker {
   private static final double OTHER_ZONE_COST = 2;
 
   private ServicePicker() {}
 
-  /** The best server that was not tried yet; empty if none may be used. */
+  /** Returns the best server that was not tried yet, or empty if there is none. */
   public static Optional<ServiceView> pick(
       Collection<ServiceView> servers, String localZone, Set<ServerId> tried) {
     return servers.stream()
--- a/core/src/main/java/org/passhaven/core/routing/ServiceView.java
+++ b/core/src/main/java/org/passhaven/core/routing/ServiceView.java
@@ -4,10 +4,10 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * What a node knows of a service server when it chooses one.
+ * A node's current view of a service server, used for server selection.
  *
- * @param outstanding own requests on it now
- * @param share part of a normal load that it may get, from 0 to 1
+ * @param outstanding number of requests of this node in progress at the server
+ * @param share fraction of the normal load that the server may get, from 0 to 1
  */
 public record ServiceView(ServerId id, String address, String zone, int outstanding, double share) {
   public ServiceView {
--- a/core/src/main/java/org/passhaven/core/routing/package-info.java
+++ b/core/src/main/java/org/passhaven/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of back ends from lagging reports. */
+/** Selection of back ends from delayed load reports. */
 package org.passhaven.core.routing;
--- a/core/src/test/java/org/passhaven/core/routing/RoutingTest.java
+++ b/core/src/test/java/org/passhaven/core/routing/RoutingTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.protocol.ServerId;
 
+/** Guards against overloading, outdated or failing back ends being chosen. */
 class RoutingTest {
   private static EngineView engine(String id, String zone, long version, int load) {
     return new EngineView(new ServerId(id), id, zone, 1, version, 4, load, true);
@@ -20,7 +21,7 @@
   }
 
   @Test
-  void engineWithMostRoomIsTakenAndNeverOverfilled() {
+  void engineWithMostFreeCapacityIsPickedAndNeverOverloaded() {
     LeastLoadedPicker picker =
         new LeastLoadedPicker(List.of(engine("a", "z", 0, 3), engine("b", "z", 0, 2)), "z");
     assertThat(picker.pick(0, null).orElseThrow().id().value(), equalTo("b"));
@@ -30,14 +31,14 @@
   }
 
   @Test
-  void engineOnATooOldVersionIsNotTaken() {
+  void engineOnATooOldVersionIsNotPicked() {
     LeastLoadedPicker picker = new LeastLoadedPicker(List.of(engine("a", "z", 1, 0)), "z");
     assertThat(picker.pick(2, null), equalTo(Optional.empty()));
     assertThat("older is fine", picker.pick(1, null).isPresent());
   }
 
   @Test
-  void enginesWithThePrefixAndInTheZoneComeFirstAtSimilarLoad() {
+  void enginesWithThePrefixOrInTheZoneArePreferredAtSimilarLoad() {
     List<EngineView> views =
         List.of(engine("a", "y", 0, 1), engine("b", "z", 0, 1), engine("c", "y", 0, 1));
     assertThat(
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void baselineTakesEnginesInTurn() {
+  void baselinePicksEnginesInRoundRobinOrder() {
     RoundRobinPicker picker =
         new RoundRobinPicker(List.of(engine("a", "z", 0, 9), engine("b", "z", 0, 9)), 0);
     assertThat(picker.pick(0, null).orElseThrow().id().value(), equalTo("a"));
@@ -57,7 +58,7 @@
   }
 
   @Test
-  void serverWithFewestRequestsIsTakenAndATriedOneNever() {
+  void serverWithFewestRequestsIsPickedAndATriedOneNever() {
     List<ServiceView> servers =
         List.of(server("a", "z", 5, 1), server("b", "y", 0, 1), server("c", "z", 0, 0));
     assertThat(ServicePicker.pick(servers, "z", Set.of()).orElseThrow().id().value(), equalTo("b"));
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void failingBackEndIsLeftOutAndLetBackGradually() {
+  void failingBackEndIsEjectedAndRampedUpGradually() {
     BackEndHealth health = new BackEndHealth();
     for (int i = 0; i < 3; i++) {
       health.onFailure(0);
