--- a/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
+++ b/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
@@ -12,30 +12,30 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * Which engines to order to a new weight version, and when. At most a share of a group swaps at
- * once, so that the group keeps serving; a failed swap is tried again after a pause that doubles.
- * The engine's own report, not the answer to the order, says that it is done. Pure. Not
- * thread-safe.
+ * Schedules the rolling update of engines to a new weight version. The number of engines that swap
+ * weights at once is limited, so that the group keeps serving; a failed swap is retried with
+ * exponential backoff. A swap is complete when the engine reports the version, not when the order
+ * is answered. Performs no I/O. Not thread-safe.
  */
 public final class VersionRollout {
-  private static final long FIRST_RETRY_MILLIS = 500;
-  private static final long MOST_RETRY_MILLIS = 8_000;
-  private static final long MOST_DEFERRED_MILLIS = 6_000;
-  private final int atOnce;
+  private static final long INITIAL_BACKOFF_MILLIS = 500;
+  private static final long MAX_BACKOFF_MILLIS = 8_000;
+  private static final long MAX_DEFERRAL_MILLIS = 6_000;
+  private final int maxInFlight;
   private long lastTarget = Long.MIN_VALUE;
   private long targetSinceMillis;
   private final Set<ServerId> inFlight = new HashSet<>();
-  private final Map<ServerId, Retry> retries = new HashMap<>();
+  private final Map<ServerId, Backoff> backoffs = new HashMap<>();
 
-  /** Creates a rollout with at most {@code atOnce} orders open. */
+  /** Creates a rollout with at most {@code atOnce} orders in flight. */
   public VersionRollout(int atOnce) {
-    this.atOnce = Math.max(1, atOnce);
+    this.maxInFlight = Math.max(1, atOnce);
   }
 
   /**
-   * Engines to order to {@code target} now: those furthest behind first, then the least loaded.
-   * Counts them as in flight. A swap pauses the batch, so engines in {@code awaited}, which run
-   * samples that a trainer waits for, come later, but not much later.
+   * Chooses the engines to order to {@code target} now, those with the oldest version first, then
+   * the least loaded, and counts them as in flight. A swap pauses generation, so engines in {@code
+   * awaited}, which run samples that a trainer waits for, are deferred for a limited time.
    */
   public List<EngineView> plan(
       Collection<EngineView> engines, Set<ServerId> awaited, long target, long nowMillis) {
@@ -43,8 +43,8 @@
       lastTarget = target;
       targetSinceMillis = nowMillis;
     }
-    boolean mayWait = nowMillis - targetSinceMillis < MOST_DEFERRED_MILLIS;
-    List<EngineView> behind =
+    boolean mayWait = nowMillis - targetSinceMillis < MAX_DEFERRAL_MILLIS;
+    List<EngineView> outdated =
         engines.stream()
             .filter(
                 view -> view.usable() && view.version() < target && !inFlight.contains(view.id()))
@@ -56,8 +56,8 @@
                     .thenComparing(EngineView::id))
             .toList();
     List<EngineView> chosen = new ArrayList<>();
-    for (EngineView view : behind) {
-      if (inFlight.size() >= atOnce) {
+    for (EngineView view : outdated) {
+      if (inFlight.size() >= maxInFlight) {
         break;
       }
       inFlight.add(view.id());
@@ -66,24 +66,24 @@
     return chosen;
   }
 
-  /** An order was answered or lost. */
+  /** Records that an order was answered or failed. */
   public void onAnswer(ServerId engine, boolean done, long nowMillis) {
     inFlight.remove(engine);
     if (done) {
-      retries.remove(engine);
+      backoffs.remove(engine);
       return;
     }
-    long pause =
-        retries.containsKey(engine)
-            ? Math.min(MOST_RETRY_MILLIS, retries.get(engine).pauseMillis() * 2)
-            : FIRST_RETRY_MILLIS;
-    retries.put(engine, new Retry(nowMillis + pause, pause));
+    long delayMillis =
+        backoffs.containsKey(engine)
+            ? Math.min(MAX_BACKOFF_MILLIS, backoffs.get(engine).delayMillis() * 2)
+            : INITIAL_BACKOFF_MILLIS;
+    backoffs.put(engine, new Backoff(nowMillis + delayMillis, delayMillis));
   }
 
   private boolean isDue(ServerId engine, long nowMillis) {
-    Retry retry = retries.get(engine);
+    Backoff retry = backoffs.get(engine);
     return retry == null || nowMillis >= retry.dueAtMillis();
   }
 
-  private record Retry(long dueAtMillis, long pauseMillis) {}
+  private record Backoff(long dueAtMillis, long delayMillis) {}
 }
--- a/core/src/main/java/org/passhaven/core/weights/package-info.java
+++ b/core/src/main/java/org/passhaven/core/weights/package-info.java
@@ -1,2 +1,2 @@
-/** Order in which engines take a new weight version. */
+/** Rolling update of engines to new weight versions. */
 package org.passhaven.core.weights;
--- a/core/src/test/java/org/passhaven/core/weights/VersionRolloutTest.java
+++ b/core/src/test/java/org/passhaven/core/weights/VersionRolloutTest.java
@@ -10,6 +10,7 @@
 import org.passhaven.core.routing.EngineView;
 import org.passhaven.protocol.ServerId;
 
+/** Guards against too many simultaneous or too frequent weight swaps. */
 class VersionRolloutTest {
   private static EngineView engine(String id, long version, int load) {
     return new EngineView(new ServerId(id), id, "z", 1, version, 8, load, true);
@@ -20,7 +21,7 @@
   }
 
   @Test
-  void ordersAtMostSoManyAtOnceTheLeastLoadedFirst() {
+  void limitsConcurrentSwapsAndOrdersTheLeastLoadedFirst() {
     VersionRollout rollout = new VersionRollout(2);
     List<EngineView> engines = List.of(engine("a", 0, 5), engine("b", 0, 0), engine("c", 0, 1));
     assertThat(ids(rollout.plan(engines, Set.of(), 1, 0)), equalTo(List.of("b", "c")));
@@ -32,7 +33,7 @@
   }
 
   @Test
-  void failedSwapIsTriedAgainAfterAPauseThatDoubles() {
+  void failedSwapIsRetriedWithExponentialBackoff() {
     VersionRollout rollout = new VersionRollout(1);
     List<EngineView> engines = List.of(engine("a", 0, 0));
     rollout.plan(engines, Set.of(), 1, 0);
@@ -45,7 +46,7 @@
   }
 
   @Test
-  void engineThatATrainerWaitsForSwapsLaterButNotMuchLater() {
+  void engineThatATrainerWaitsForIsDeferredForALimitedTime() {
     VersionRollout rollout = new VersionRollout(2);
     List<EngineView> engines = List.of(engine("a", 0, 1));
     assertThat(rollout.plan(engines, Set.of(new ServerId("a")), 1, 0), empty());
