--- a/core/src/main/java/org/passhaven/core/memory/BodyUse.java
+++ b/core/src/main/java/org/passhaven/core/memory/BodyUse.java
@@ -13,8 +13,8 @@
 
   private final double reservedShare;
 
-  BodyUse(double ownShare) {
-    this.reservedShare = ownShare;
+  BodyUse(double reservedShare) {
+    this.reservedShare = reservedShare;
   }
 
   /** Returns the fraction of the budget reserved for this purpose. */
--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -136,8 +136,8 @@
     final long reservedBytes;
     long heldBytes;
 
-    Allocation(long ownBytes) {
-      this.reservedBytes = ownBytes;
+    Allocation(long reservedBytes) {
+      this.reservedBytes = reservedBytes;
     }
   }
 
--- a/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
+++ b/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
@@ -27,9 +27,9 @@
   private final Set<ServerId> inFlight = new HashSet<>();
   private final Map<ServerId, Backoff> backoffs = new HashMap<>();
 
-  /** Creates a rollout with at most {@code atOnce} orders in flight. */
-  public VersionRollout(int atOnce) {
-    this.maxInFlight = Math.max(1, atOnce);
+  /** Creates a rollout with at most {@code maxInFlight} orders in flight. */
+  public VersionRollout(int maxInFlight) {
+    this.maxInFlight = Math.max(1, maxInFlight);
   }
 
   /**
