--- a/protocol/src/main/java/org/passhaven/protocol/Codec.java
+++ b/protocol/src/main/java/org/passhaven/protocol/Codec.java
@@ -7,14 +7,14 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
-/** MessagePack encoding of all internal messages and log records. Thread-safe. */
+/** Encodes and decodes internal messages and log records as MessagePack. Thread-safe. */
 public final class Codec {
   private static final ObjectMapper MAPPER =
       new MessagePackMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
   private Codec() {}
 
-  /** Encodes {@code message}. */
+  /** Encodes a message. */
   public static byte[] encode(Object message) {
     try {
       return MAPPER.writeValueAsBytes(message);
--- a/protocol/src/main/java/org/passhaven/protocol/CodecException.java
+++ b/protocol/src/main/java/org/passhaven/protocol/CodecException.java
@@ -1,10 +1,10 @@
 package org.passhaven.protocol;
 
-/** Bytes that are no valid message. */
+/** Thrown when a message cannot be encoded or decoded. */
 public final class CodecException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates the error. */
+  /** Creates the exception; {@code cause} may be null. */
   public CodecException(String message, Throwable cause) {
     super(message, cause);
   }
--- a/protocol/src/main/java/org/passhaven/protocol/ConfigurationDocument.java
+++ b/protocol/src/main/java/org/passhaven/protocol/ConfigurationDocument.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One named document of the configuration.
+ * A named configuration document.
  *
- * @param key kind and name, such as {@code trainer/assessor}
- * @param json the document's body as JSON
+ * @param key kind and name, separated by a slash, such as {@code trainer/assessor}
+ * @param json body of the document as JSON
  */
 public record ConfigurationDocument(String key, String json) {
   public ConfigurationDocument {
--- a/protocol/src/main/java/org/passhaven/protocol/LogEntry.java
+++ b/protocol/src/main/java/org/passhaven/protocol/LogEntry.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** A record with its identity, as it stands in the platform's log. */
+/** A record with its identity, as stored in the platform's log. */
 public record LogEntry(RecordId id, LogRecord record) {
   public LogEntry {
     Objects.requireNonNull(id, "id");
--- a/protocol/src/main/java/org/passhaven/protocol/LogRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/LogRecord.java
@@ -4,7 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/** Everything that passhaven writes to the platform's log. State is a fold of these records. */
+/**
+ * A record that passhaven writes to the platform's log. State is rebuilt by replaying these
+ * records.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = LogRecord.LeaseClaimed.class, name = "lc"),
@@ -23,25 +26,25 @@
 })
 public sealed interface LogRecord {
   /**
-   * A record that only the holder of a shard's lease may write; readers ignore it under a stale
-   * epoch.
+   * A record that only the holder of a shard's lease may write; readers ignore it if its epoch is
+   * stale.
    */
   sealed interface Fenced extends LogRecord {
-    /** Epoch of the lease under which the record was written. */
+    /** Returns the epoch of the lease under which the record was written. */
     long epoch();
   }
 
-  /** Claim of a lease. Valid if {@code epoch} is one more than the epoch folded so far. */
+  /** Claim of a lease. Valid if {@code epoch} is one more than the last epoch applied. */
   record LeaseClaimed(long epoch, NodeId owner, String ownerAddress, long termMillis)
       implements LogRecord {}
 
-  /** The holder is alive; each other fenced record of the holder renews as well. */
+  /** Renewal of a lease by its holder; any other fenced record of the holder renews it as well. */
   record LeaseRenewed(long epoch) implements Fenced {}
 
-  /** The holder stops; a successor may claim at once. */
+  /** Release of a lease; a successor may claim it immediately. */
   record LeaseReleased(long epoch) implements Fenced {}
 
-  /** Plan of one training step: its slots are {@code prompts.size() * samplesPerPrompt}. */
+  /** Submission of a training step with {@code prompts.size() * samplesPerPrompt} slots. */
   record StepSubmitted(long epoch, long step, List<Prompt> prompts, int samplesPerPrompt)
       implements Fenced {
     public StepSubmitted {
@@ -49,25 +52,31 @@
     }
   }
 
-  /** Samples bound to delivery positions. Content is not in the log: it is regenerated if lost. */
+  /**
+   * Assignment of samples to delivery positions. The log does not contain the samples; lost ones
+   * are regenerated.
+   */
   record SamplesCommitted(long epoch, long step, List<Commit> commits) implements Fenced {
     public SamplesCommitted {
       commits = List.copyOf(commits);
     }
   }
 
-  /** The trainer's cursor went past the last position; the step's state may be dropped. */
+  /**
+   * End of a step: the trainer's cursor has passed the last position, so the state of the step may
+   * be dropped.
+   */
   record StepFinished(long epoch, long step) implements Fenced {}
 
-  /** The weight version that the trainer trains on now. */
+  /** The trainer's current weight version. */
   record TrainerVersionStated(long epoch, long version) implements Fenced {}
 
-  /** The run takes no more steps. */
+  /** End of the run; it accepts no more steps. */
   record RunEnded(long epoch) implements Fenced {}
 
   /**
-   * A whole configuration, as changes against revision {@code base}. Valid if the base is the
-   * newest.
+   * A new configuration revision, as changes against revision {@code base}. Valid if the base is
+   * the newest revision.
    */
   record ConfigurationApplied(
       long base, String operator, List<ConfigurationDocument> changed, List<String> removed)
@@ -78,24 +87,24 @@
     }
   }
 
-  /** A non-repeatable request is about to be sent; the first record of a key wins. */
+  /** Intent to send a non-repeatable request; the first record of a key wins. */
   record IntentRecorded(String key, long requestDigest) implements LogRecord {}
 
-  /** The answer that the request of this key got. */
+  /** Response to the request with this key. */
   record IntentAnswered(String key, int status, String contentType, byte[] body)
       implements LogRecord {}
 
-  /** No byte of the request of this key was sent: a repeat may run. */
+  /** Withdrawal of an intent: no byte of the request was sent, so it may be retried. */
   record IntentWithdrawn(String key) implements LogRecord {}
 
   /**
-   * Image of a stream's fold up to, but not including, {@code throughOffset}; kept in a stream of
-   * its own.
+   * Snapshot of a stream's state up to, but not including, {@code throughOffset}; stored in a
+   * separate stream.
    */
   record SnapshotTaken(long throughOffset, byte[] image) implements LogRecord {}
 
   /**
-   * Binding of a slot to a delivery position. A later attempt at the same position replaces an
+   * Assignment of a slot to a delivery position. A later attempt at the same position replaces an
    * earlier one.
    */
   record Commit(
--- a/protocol/src/main/java/org/passhaven/protocol/MemberState.java
+++ b/protocol/src/main/java/org/passhaven/protocol/MemberState.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * What one node says of itself, or is said of it.
+ * Membership state of one node, as reported by itself or by others.
  *
  * @param node the node
- * @param address host and port of its peer interface
- * @param zone its zone
- * @param incarnation its start; a higher one replaces all that is known of a lower one
- * @param heartbeat grows while the node lives; the higher statement wins
- * @param status what is believed of it
- * @param revision configuration revision in force at it
+ * @param address host and port of the peer interface
+ * @param zone availability zone
+ * @param incarnation incarnation of the node; a higher one replaces all state of a lower one
+ * @param heartbeat counter that grows while the node is alive; the state with the higher one wins
+ * @param status liveness of the node
+ * @param revision configuration revision that the node uses
  */
 public record MemberState(
     NodeId node,
@@ -26,7 +26,7 @@
     Objects.requireNonNull(status, "status");
   }
 
-  /** Belief about a member, in rising order of precedence at one heartbeat. */
+  /** Liveness of a member, in ascending order of precedence for states with the same heartbeat. */
   public enum Status {
     ALIVE,
     SUSPECT,
@@ -34,7 +34,7 @@
     DEAD
   }
 
-  /** The same member under another belief. */
+  /** Returns this state with another status. */
   public MemberState withStatus(Status newStatus) {
     return new MemberState(node, address, zone, incarnation, heartbeat, newStatus, revision);
   }
--- a/protocol/src/main/java/org/passhaven/protocol/NodeId.java
+++ b/protocol/src/main/java/org/passhaven/protocol/NodeId.java
@@ -5,8 +5,8 @@
 import java.util.Objects;
 
 /**
- * Name of one passhaven process, unique in the fleet; it survives a restart, the incarnation does
- * not.
+ * Name of a passhaven node, unique in the fleet. Unlike the incarnation, it stays the same across
+ * restarts.
  */
 public record NodeId(@JsonValue String value) implements Comparable<NodeId> {
   @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/protocol/src/main/java/org/passhaven/protocol/PeerRequest.java
+++ b/protocol/src/main/java/org/passhaven/protocol/PeerRequest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/** Requests between passhaven nodes. */
+/** A request from one passhaven node to another. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = PeerRequest.SubmitStep.class, name = "ss"),
@@ -19,44 +19,47 @@
 })
 public sealed interface PeerRequest {
   /**
-   * A request that only the owner of a shard serves; any other node answers {@link
+   * A request that only the owner of a shard serves; any other node responds with {@link
    * PeerResponse.NotOwner}.
    */
   sealed interface ToOwner extends PeerRequest {
-    /** The shard. */
+    /** Returns the shard that the request is for. */
     ShardId shard();
   }
 
-  /** Plans a step; repeating it is harmless. */
+  /** Submits a training step. Idempotent. */
   record SubmitStep(ShardId shard, long step, List<Prompt> prompts, int samplesPerPrompt)
       implements ToOwner {}
 
   /**
-   * Asks for the samples after {@code cursor}; a cursor that moved is the acknowledgement of all
-   * before it.
+   * Requests the samples after {@code cursor}; advancing the cursor acknowledges all samples before
+   * it.
    */
   record PullSamples(
       ShardId shard, long step, long cursor, long trainerVersion, int most, long waitMillis)
       implements ToOwner {}
 
-  /** States the trainer's current weight version. */
+  /** Reports the trainer's current weight version. */
   record StateVersion(ShardId shard, long version) implements ToOwner {}
 
   /** Ends the run of the shard. */
   record EndRun(ShardId shard) implements ToOwner {}
 
-  /** Heartbeat of {@code sender} with what it has newly heard of others. */
+  /** Heartbeat of {@code sender} with recent state changes of other members. */
   record Gossip(MemberState sender, List<MemberState> news) implements PeerRequest {}
 
-  /** Asks the receiver to send a heartbeat to {@code target} for a node that could not reach it. */
+  /**
+   * Indirect probe: asks the receiver to send a heartbeat to {@code target} on behalf of a node
+   * that could not reach it.
+   */
   record Probe(MemberState sender, NodeId target, String targetAddress) implements PeerRequest {}
 
   /**
-   * Asks the node that keeps a key's stream of intents to carry a request under that key.
+   * Asks the node responsible for the intents of a key to forward a request with that key.
    *
-   * @param callId unique over all nodes and starts; a copy of the message is answered as the first
-   *     was
-   * @param deadlineMillis time left to an answer
+   * @param callId identity of the call, unique over all nodes and incarnations; a duplicate gets
+   *     the same response as the first call
+   * @param deadlineMillis time left for the response
    */
   record CarryRequest(
       String callId,
@@ -69,12 +72,12 @@
       long deadlineMillis)
       implements PeerRequest {}
 
-  /** Asks for the configuration revision in force at the receiver. */
+  /** Requests the configuration revision that the receiver uses. */
   record FetchRevision() implements PeerRequest {}
 
   /**
-   * Asks for the receiver's configuration if newer than {@code newerThan}; for starts while the log
-   * is down.
+   * Requests the receiver's configuration if newer than {@code newerThan}; used by nodes that start
+   * while the log is down.
    */
   record FetchConfiguration(long newerThan) implements PeerRequest {}
 }
--- a/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
+++ b/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/** Answers to {@link PeerRequest}. */
+/** Response to a {@link PeerRequest}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = PeerResponse.Done.class, name = "d"),
@@ -21,35 +21,37 @@
   /** The request took effect durably. */
   record Done() implements PeerResponse {}
 
-  /** The receiver does not hold the lease; {@code ownerAddress} is empty if it knows no holder. */
+  /**
+   * The receiver does not hold the lease; {@code ownerAddress} is empty if the holder is unknown.
+   */
   record NotOwner(String ownerAddress) implements PeerResponse {}
 
   /** The request was refused and had no effect. */
   record Refused(String reason) implements PeerResponse {}
 
   /**
-   * Samples after the cursor, in order; {@code slots} is the number that the step has in this
+   * Samples after the cursor, in order; {@code slots} is the number of slots of the step in this
    * shard.
    */
   record Samples(List<Sample> samples, int slots) implements PeerResponse {}
 
-  /** The receiver's own state and its news. */
+  /** The receiver's own state and recent state changes of other members. */
   record GossipAnswer(MemberState sender, List<MemberState> news) implements PeerResponse {}
 
-  /** Whether the target answered. */
+  /** Result of an indirect probe: whether the target responded. */
   record ProbeAnswer(boolean reached) implements PeerResponse {}
 
   /**
-   * Outcome of a request that was carried for another node.
+   * Outcome of a request that was forwarded for another node.
    *
-   * @param status HTTP status if it was answered
-   * @param reason why, if it was not answered
-   * @param retryAfterMillis when to come back if it was refused; 0 if unknown
+   * @param status HTTP status, if there was a response
+   * @param reason reason why there was no response
+   * @param retryAfterMillis delay before a retry if the request was refused; 0 if unknown
    */
   record Carried(
       Word word, int status, String contentType, byte[] body, String reason, long retryAfterMillis)
       implements PeerResponse {
-    /** What the caller is to be told. */
+    /** Outcome reported to the caller. */
     public enum Word {
       ANSWERED,
       REFUSED_NOT_RUN,
@@ -57,10 +59,10 @@
     }
   }
 
-  /** Revision in force. */
+  /** The configuration revision that the receiver uses. */
   record Revision(long revision) implements PeerResponse {}
 
-  /** The whole configuration at a revision; empty documents if not newer than asked. */
+  /** The whole configuration at a revision; without documents if it is not newer than requested. */
   record Configuration(long revision, List<ConfigurationDocument> documents)
       implements PeerResponse {}
 }
--- a/protocol/src/main/java/org/passhaven/protocol/Prompt.java
+++ b/protocol/src/main/java/org/passhaven/protocol/Prompt.java
@@ -5,9 +5,9 @@
 /**
  * One prompt of a training step.
  *
- * @param index place in the whole step, over all shards, from zero
- * @param text the prompt
- * @param seed seed for sampling; sample {@code k} of the prompt uses {@code seed + k}
+ * @param index position in the whole step, over all shards, from zero
+ * @param text text of the prompt
+ * @param seed random seed; sample {@code k} of the prompt uses {@code seed + k}
  */
 public record Prompt(int index, String text, long seed) {
   public Prompt {
--- a/protocol/src/main/java/org/passhaven/protocol/RecordId.java
+++ b/protocol/src/main/java/org/passhaven/protocol/RecordId.java
@@ -3,12 +3,13 @@
 import java.util.Objects;
 
 /**
- * Identity of one log record. An append whose answer was lost is repeated under the same identity
- * and every reader keeps the first copy only.
+ * Identity of a log record. An append without a response is retried under the same identity, and
+ * readers drop duplicates.
  *
  * @param writer node that wrote the record
- * @param incarnation the writer's start, so that a restarted writer never repeats an identity
- * @param sequence grows by one with each record of this writer in this stream
+ * @param incarnation incarnation of the writer, so that a restarted writer never reuses an identity
+ * @param sequence number of the record, increasing by one with each record of the writer in the
+ *     stream
  */
 public record RecordId(NodeId writer, long incarnation, long sequence) {
   public RecordId {
--- a/protocol/src/main/java/org/passhaven/protocol/Sample.java
+++ b/protocol/src/main/java/org/passhaven/protocol/Sample.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * A finished sample.
+ * A completely generated sample of a training step.
  *
  * @param position delivery position in its shard's step, from zero
- * @param promptIndex place of the prompt in the step
- * @param sampleIndex place among the samples of the prompt
+ * @param promptIndex index of the prompt in the step
+ * @param sampleIndex index among the samples of the prompt
  * @param attempt attempt that produced it
  * @param segments tokens with the weight versions that generated them
  * @param score score from the scoring service; NaN if the trainer names no scorer
@@ -24,25 +24,25 @@
     segments = List.copyOf(segments);
   }
 
-  /** Oldest weight version among the segments. */
+  /** Returns the oldest weight version among the segments. */
   @JsonIgnore
   public long oldestVersion() {
     return segments.stream().mapToLong(Segment::version).min().orElseThrow();
   }
 
-  /** Newest weight version among the segments. */
+  /** Returns the newest weight version among the segments. */
   @JsonIgnore
   public long newestVersion() {
     return segments.stream().mapToLong(Segment::version).max().orElseThrow();
   }
 
-  /** Number of tokens over all segments. */
+  /** Returns the number of tokens in all segments. */
   @JsonIgnore
   public int tokenCount() {
     return segments.stream().mapToInt(segment -> segment.tokens().length).sum();
   }
 
-  /** The same sample at another delivery position. */
+  /** Returns this sample with another delivery position. */
   public Sample atPosition(long newPosition) {
     return new Sample(newPosition, promptIndex, sampleIndex, attempt, segments, score);
   }
--- a/protocol/src/main/java/org/passhaven/protocol/Segment.java
+++ b/protocol/src/main/java/org/passhaven/protocol/Segment.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * Tokens of a sample that one engine generated on one weight version.
+ * Tokens of a sample that one engine generated with one weight version.
  *
- * @param version weight version, as the engine reported it with these tokens
+ * @param version weight version that the engine reported with these tokens
  * @param engine engine that generated them
- * @param incarnation the engine's start
- * @param tokens the tokens
+ * @param incarnation incarnation of the engine
+ * @param tokens token ids in order
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record Segment(long version, ServerId engine, long incarnation, int[] tokens) {
--- a/protocol/src/main/java/org/passhaven/protocol/ServerId.java
+++ b/protocol/src/main/java/org/passhaven/protocol/ServerId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Objects;
 
-/** Name of one back end: a model engine or a service server. */
+/** Name of a back end: a model engine or a service server. */
 public record ServerId(@JsonValue String value) implements Comparable<ServerId> {
   @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
   public ServerId {
--- a/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
+++ b/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * What nodes tell each other of a request under which servers have ended. Each note stands under a
- * key of its own in a table, until the request is forgotten.
+ * A note shared between nodes about a request during which servers crashed. Each note is stored in
+ * a table under its own key until the request expires.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -13,22 +13,22 @@
   @JsonSubTypes.Type(value = CrashNote.Trial.class, name = "ct")
 })
 public sealed interface CrashNote {
-  /** Divides a key; no fingerprint has it. */
+  /** Separator of the parts of a key; does not occur in fingerprints. */
   char DIVIDER = '/';
 
-  /** The request. */
+  /** Returns the fingerprint of the request. */
   String fingerprint();
 
-  /** Key of the note; begins with the fingerprint and {@link #DIVIDER}. */
+  /** Returns the key of the note; it begins with the fingerprint and {@link #DIVIDER}. */
   String key();
 
-  /** The fingerprint that a key begins with. */
+  /** Returns the fingerprint at the start of a key. */
   static String fingerprintOf(String key) {
     int end = key.indexOf(DIVIDER);
     return end < 0 ? key : key.substring(0, end);
   }
 
-  /** A server ended while it ran the request. */
+  /** A server terminated while it ran the request. */
   record Ended(String fingerprint, String server) implements CrashNote {
     @Override
     public String key() {
@@ -37,10 +37,10 @@
   }
 
   /**
-   * A start of a node is to run the request once, to see whether it ends another server. The first
-   * trial of a number counts.
+   * Reservation of a trial: one node incarnation runs the request once, to find out whether it
+   * crashes another server. The first record of a trial number wins.
    *
-   * @param number of the trial of this request, from 1
+   * @param number number of the trial of this request, from 1
    */
   record Trial(String fingerprint, int number, String node, long incarnation) implements CrashNote {
     @Override
--- a/protocol/src/main/java/org/passhaven/protocol/crash/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/crash/package-info.java
@@ -1,2 +1,2 @@
-/** Notes on requests under which servers have ended. */
+/** Notes on requests during which servers crashed. */
 package org.passhaven.protocol.crash;
--- a/protocol/src/main/java/org/passhaven/protocol/duty/DutyRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/duty/DutyRecord.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * Records of the duties that one node at a time has, and of who has them; see {@code DutyLease}.
+ * A log record about the duties that only one node at a time performs and about the lease on them;
+ * see {@code DutyLease}.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -17,40 +18,44 @@
   @JsonSubTypes.Type(value = DutyRecord.UsageReported.class, name = "ur")
 })
 public sealed interface DutyRecord {
-  /** Epoch under which the record was written. */
+  /** Returns the epoch of the lease under which the record was written. */
   long epoch();
 
-  /** Node that wrote the record. */
+  /** Returns the node that wrote the record. */
   String node();
 
-  /** Start of the node that wrote the record. */
+  /** Returns the incarnation of the node that wrote the record. */
   long incarnation();
 
   /**
-   * Claim; valid if its epoch is higher than the one folded so far, and its writer had read to
-   * behind the holder's newest record.
+   * Claim of the lease. Valid if its epoch is higher than the last one applied and its writer had
+   * read past the holder's newest record.
    *
    * @param readTo offset up to which the writer had read the stream
    */
   record Claimed(long epoch, String node, long incarnation, long readTo) implements DutyRecord {}
 
   /**
-   * The holder may order for a short while from the moment at which it sent this record.
+   * Announcement that the holder may send orders for a short time after it sent this record.
    *
-   * @param number counts the intents of one start of a node
-   * @param othersQuietMillis how long before the sending the writer had last read anything by which
-   *     another node may order
+   * @param number number of the record within one incarnation of the node
+   * @param othersQuietMillis time between the last record read that allows another node to send
+   *     orders and the sending of this record
    */
   record Intended(long epoch, String node, long incarnation, long number, long othersQuietMillis)
       implements DutyRecord {}
 
-  /** The holder orders no more, and each of its orders was answered before it sent this record. */
+  /**
+   * Release of the lease. The holder sends no more orders, and all its orders were answered before
+   * it sent this record.
+   */
   record Released(long epoch, String node, long incarnation) implements DutyRecord {}
 
   /**
-   * A server told the holder that it holds a version; its own entry says so only later.
+   * Report of a server to the holder that it has reached a weight version, before the entry of the
+   * server is updated.
    *
-   * @param serverBornMillis when the server that told it was started; zero if it does not tell
+   * @param serverBornMillis start time of the server; zero if it reports none
    */
   record Reached(
       long epoch,
@@ -63,11 +68,11 @@
       implements DutyRecord {}
 
   /**
-   * What is reported of a window, by whichever holder and however often; the first record of a
-   * window counts.
+   * The final usage counts of a window, which every holder reports unchanged. The first record of a
+   * window wins.
    *
    * @param counts requests by tenant
-   * @param readTo offset of the stream of counts up to which they were added up
+   * @param readTo offset in the usage stream up to which the counts were added up
    */
   record UsageFixed(
       long epoch, String node, long incarnation, long window, Map<String, Long> counts, long readTo)
@@ -77,7 +82,7 @@
     }
   }
 
-  /** A window was reported. */
+  /** Confirmation that the usage of a window was reported. */
   record UsageReported(long epoch, String node, long incarnation, long window)
       implements DutyRecord {}
 }
--- a/protocol/src/main/java/org/passhaven/protocol/duty/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/duty/package-info.java
@@ -1,2 +1,2 @@
-/** Records of the stream that decides which node does the duties of one holder. */
+/** Records of the lease that decides which node performs the single-node duties. */
 package org.passhaven.protocol.duty;
--- a/protocol/src/main/java/org/passhaven/protocol/job/ItemResult.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/ItemResult.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * A result as its caller reads it, with its text.
+ * The result of a job item, including its text, as returned to the caller.
  *
- * @param completed whether the item has its whole text; else it is given up
+ * @param completed whether the text is complete; if not, the item was abandoned
  * @param text data of all events in order, separated by line feeds
- * @param versions weight versions that made the text, rising
- * @param score what the scorer gave; empty if there is none
+ * @param versions weight versions that generated the text, in ascending order
+ * @param score score from the scoring service; empty if there is none
  */
 public record ItemResult(
     String job, String item, boolean completed, String text, List<Long> versions, String score) {
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobItem.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobItem.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * One request of a batch job.
+ * A request of a batch job.
  *
  * @param id identity of the request at the server, unique in the job
  * @param path path and query
- * @param headers header fields that the server gets unchanged
- * @param group items of one group share their prompt; empty if there is none
- * @param expectedTokens the caller's estimate of the tokens to come; zero if unknown
- * @param score request that scores the text; null if the text needs no score
+ * @param headers header fields passed to the server unchanged
+ * @param group group of items with the same prompt; empty if there is none
+ * @param expectedTokens number of tokens estimated by the caller; zero if unknown
+ * @param score request that scores the text; null if the text is not scored
  */
 public record JobItem(
     String id,
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
@@ -6,8 +6,9 @@
 import java.util.Objects;
 
 /**
- * Records of a partition of jobs. Their fold is the jobs' state; of two records that say the same
- * thing the first wins, so a copy, a late record or one of a former runner changes nothing.
+ * A log record of a job partition. The state of the jobs is rebuilt by replaying these records. The
+ * first of several equivalent records wins, so duplicates, late records and records of former
+ * runners have no effect.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -17,16 +18,17 @@
   @JsonSubTypes.Type(value = JobRecord.JobEnded.class, name = "je")
 })
 public sealed interface JobRecord {
-  /** A record of one job. */
+  /** A record about a single job. */
   sealed interface OfJob extends JobRecord {
-    /** Name of the job. */
+    /** Returns the name of the job. */
     String job();
   }
 
   /**
-   * A node runs the jobs of a run from now on; valid if its epoch is higher than the one folded so
-   * far, and its writer had read to behind the runner's newest claim. The runner writes it again
-   * before the log drops it. Two runners harm nothing: this keeps them from doing the same work.
+   * Claim of a run by a node, which executes its jobs from now on. Valid if the epoch is higher
+   * than the last one applied and the writer had read past the newest claim of the current runner.
+   * The runner repeats the record before the log truncates it. Two concurrent runners are safe; the
+   * claim only avoids duplicate work.
    *
    * @param readTo offset up to which the writer had read the partition
    */
@@ -39,9 +41,10 @@
   }
 
   /**
-   * A piece of an encoded {@link JobSubmission}; the job is accepted with its last piece.
+   * A chunk of an encoded {@link JobSubmission}; the job is accepted with its last chunk.
    *
-   * @param attempt names the append that the piece belongs to; pieces of two are never mixed
+   * @param attempt identity of the append that the chunk belongs to; chunks of different attempts
+   *     are never combined
    */
   record JobPart(String job, long attempt, int part, int parts, byte[] content) implements OfJob {
     public JobPart {
@@ -51,14 +54,14 @@
   }
 
   /**
-   * The result of an item; its place among the job's results is its position. The text itself is a
-   * {@link ResultText} in a stream of its own, since every node reads these records and hardly any
-   * one the text.
+   * The result of an item; the order of these records is the order of the job's results. The text
+   * is stored as a {@link ResultText} in a separate stream, since every node reads these records
+   * but few need the text.
    *
-   * @param completed whether the item has its whole text; else it is given up
-   * @param text where the text is; null if it is empty
-   * @param versions weight versions that made the text, rising
-   * @param score what the scorer gave; empty if there is none
+   * @param completed whether the text is complete; if not, the item was abandoned
+   * @param text location of the text; null if the text is empty
+   * @param versions weight versions that generated the text, in ascending order
+   * @param score score from the scoring service; empty if there is none
    */
   record ItemFinished(
       String job, String item, boolean completed, TextPlace text, List<Long> versions, String score)
@@ -71,6 +74,6 @@
     }
   }
 
-  /** The caller wants no more of the job. */
+  /** End of a job, requested by the caller. */
   record JobEnded(String job) implements OfJob {}
 }
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobSubmission.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobSubmission.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * A batch job as its caller handed it in.
+ * A batch job as submitted by the caller.
  *
- * @param id unique name; a second submission under it is the same job
- * @param host host whose routes carry the items
+ * @param id unique name; a submission with the same name is the same job
+ * @param host host whose routes are used for the items
  * @param path path that the job was submitted to
- * @param tenant tenant that the job belongs to; empty if it belongs to none
- * @param run name under which jobs belong together: the trained model, or the route's path, of one
- *     tenant
- * @param model model that generates; empty if the items name none
+ * @param tenant tenant that the job belongs to; empty if there is none
+ * @param run name of the run that groups jobs of one tenant: the trained model or the path of the
+ *     route
+ * @param model model that generates the texts; empty if the items name none
  * @param step number of the training step; zero if there is none
- * @param oldestVersion oldest weight version that may generate
- * @param wantedGroups whole groups that the caller waits for
+ * @param oldestVersion oldest weight version allowed for generation
+ * @param wantedGroups number of complete groups that the caller waits for
  */
 public record JobSubmission(
     String id,
--- a/protocol/src/main/java/org/passhaven/protocol/job/ResultText.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/ResultText.java
@@ -3,8 +3,9 @@
 import java.util.Objects;
 
 /**
- * Record of a stream of texts: the text of one item's result. It is in the log before the result
- * that names its place; a text that no result names is one whose writer was overtaken.
+ * A record with the text of one item's result. It is appended before the result that refers to its
+ * location; a text without a result is left over from a writer that lost the race to finish the
+ * item.
  *
  * @param text data of all events in order, separated by line feeds
  */
--- a/protocol/src/main/java/org/passhaven/protocol/job/ScoreCall.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/ScoreCall.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * Request that scores the text of an item once it is whole.
+ * A request that scores the text of an item once the text is complete.
  *
  * @param id identity of the request at the server
- * @param host host whose routes carry it
+ * @param host host whose routes are used for the request
  * @param path path and query
  */
 public record ScoreCall(String id, String host, String path, byte[] body) {
--- a/protocol/src/main/java/org/passhaven/protocol/job/TextPlace.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/TextPlace.java
@@ -1,10 +1,10 @@
 package org.passhaven.protocol.job;
 
 /**
- * Where a {@link ResultText} is, in the stream of texts that belongs to the partition of its job.
+ * Location of a {@link ResultText} in the text stream of the partition of its job.
  *
  * @param offset offset of the record
- * @param bytes size of the record
+ * @param bytes size of the record in bytes
  */
 public record TextPlace(long offset, int bytes) {
   public TextPlace {
--- a/protocol/src/main/java/org/passhaven/protocol/job/TextRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/TextRecord.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * What generations of one run have made since the runner's last record: the only durable trace of
- * text that is not a result yet. Written by the run's owner, read by its successor.
+ * A checkpoint of the text that the generations of one run have produced since the runner's last
+ * record. It is the only durable copy of text that is not yet a result. Written by the owner of the
+ * run and read by its successor.
  *
- * @param run run whose jobs the text belongs to
- * @param epoch epoch under which the writer owns the run; records of a lower one than the highest
- *     read are ignored
- * @param number number of the record under its epoch, rising from 1; an append that was done late
- *     is known by it
- * @param parts pieces of text, at most one an item
+ * @param run run that the jobs of the text belong to
+ * @param epoch epoch under which the writer owns the run; records with a lower epoch than the
+ *     highest one read are ignored
+ * @param number number of the record within its epoch, increasing from 1; identifies late appends
+ * @param parts parts of texts, at most one per item
  */
 public record TextRecord(String run, long epoch, long number, List<TextPart> parts) {
   public TextRecord {
@@ -21,13 +21,13 @@
   }
 
   /**
-   * Events of one item that follow one another. They replace what is known behind {@code
-   * afterEvent}, if what is known up to there is the text that they continue.
+   * Consecutive events of one item. They replace all events after {@code afterEvent}, provided that
+   * the events up to it match {@code beforeHash}.
    *
-   * @param afterEvent number of the event before the first one given; zero for the beginning
+   * @param afterEvent number of the event before the first one in this part; zero for the beginning
    * @param beforeHash hash of the events up to {@code afterEvent} and their versions; zero for none
    * @param events data of the events
-   * @param versions weight version that made each event
+   * @param versions weight version that generated each event
    * @param isWhole whether the text is complete with the last event
    */
   public record TextPart(
@@ -44,7 +44,7 @@
       events = List.copyOf(events);
       versions = List.copyOf(versions);
       if (events.size() != versions.size()) {
-        throw new IllegalArgumentException("each event needs the version that made it");
+        throw new IllegalArgumentException("number of events and number of versions must be equal");
       }
     }
   }
--- a/protocol/src/main/java/org/passhaven/protocol/job/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/package-info.java
@@ -1,2 +1,2 @@
-/** Batch jobs of opaque requests: what a submission holds, and the records of their streams. */
+/** Batch jobs of opaque requests: submissions, results and log records. */
 package org.passhaven.protocol.job;
--- a/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
@@ -5,18 +5,18 @@
 import java.util.Objects;
 
 /**
- * A node is alive and reaches the log.
+ * Heartbeat of a node: a record that the node is alive and can reach the log.
  *
  * @param address host and port at which callers reach it
- * @param incarnation its start; a higher one replaces a lower one
- * @param taking whether it takes new work
- * @param requestsPerSecond requests that it lately forwarded
- * @param periodMillis time in which its next beat is to come; zero if it does not say
- * @param cores processor of its machine, in cores; zero if it does not say
- * @param inLogMillis milliseconds since the first beat of this start was acknowledged by the log,
- *     plus one; one before that, zero if the node does not report it
- * @param serverUse its use of servers that generate, if it shares them with other nodes; omitted
- *     from the encoding if empty, and ignored by nodes that do not know it
+ * @param incarnation incarnation of the node; a higher one replaces a lower one
+ * @param taking whether the node accepts new work
+ * @param requestsPerSecond recent rate of forwarded requests
+ * @param periodMillis time until the next heartbeat is due; zero if not reported
+ * @param cores number of processor cores of the machine; zero if not reported
+ * @param inLogMillis milliseconds since the log acknowledged the first heartbeat of this
+ *     incarnation, plus one; one before that, zero if not reported
+ * @param serverUse the node's use of model servers that it shares with other nodes; omitted from
+ *     the encoding if empty, and ignored by older nodes
  */
 public record MemberBeat(
     String node,
@@ -29,10 +29,10 @@
     double cores,
     long inLogMillis,
     @JsonInclude(JsonInclude.Include.NON_EMPTY) List<ServerUse> serverUse) {
-  /** {@link #inLogMillis} of the first beat of a start. */
+  /** Value of {@link #inLogMillis} in the first heartbeat of an incarnation. */
   public static final long FIRST_IN_LOG_MILLIS = 1;
 
-  /** One start of a node. */
+  /** An incarnation of a node. */
   public record Start(String node, long incarnation) {}
 
   public MemberBeat {
@@ -42,7 +42,7 @@
     serverUse = serverUse == null ? List.of() : List.copyOf(serverUse);
   }
 
-  /** A beat without a report of server use. */
+  /** Creates a heartbeat without server use. */
   public MemberBeat(
       String node,
       String address,
@@ -66,7 +66,7 @@
         List.of());
   }
 
-  /** The start of the node that wrote this beat. */
+  /** Returns the incarnation of the node that wrote this heartbeat. */
   public Start start() {
     return new Start(node, incarnation);
   }
--- a/protocol/src/main/java/org/passhaven/protocol/member/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/package-info.java
@@ -1,2 +1,2 @@
-/** What nodes tell of themselves in the log. */
+/** Heartbeats that nodes write to the log. */
 package org.passhaven.protocol.member;
--- a/protocol/src/main/java/org/passhaven/protocol/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Typed messages between passhaven's processes and records in the platform's log. No logic. */
+/** Messages between passhaven nodes and records in the platform's log. */
 package org.passhaven.protocol;
--- a/protocol/src/main/java/org/passhaven/protocol/usage/UsageRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/usage/UsageRecord.java
@@ -4,12 +4,13 @@
 import java.util.Objects;
 
 /**
- * Requests that one start of a node has brought to run in one window so far. Of two records of the
- * same start and window the higher counts hold, so a copy or a late one changes nothing.
+ * Number of requests that one incarnation of a node has started in one window so far, by tenant.
+ * The highest counts of the same incarnation and window are used, so duplicate and late records
+ * have no effect.
  *
- * @param incarnation start of the node
+ * @param incarnation incarnation of the node
  * @param window number of the window
- * @param counts requests by tenant
+ * @param counts number of requests by tenant
  */
 public record UsageRecord(String node, long incarnation, long window, Map<String, Long> counts) {
   public UsageRecord {
--- a/protocol/src/main/java/org/passhaven/protocol/usage/package-info.java
+++ b/protocol/src/main/java/org/passhaven/protocol/usage/package-info.java
@@ -1,2 +1,2 @@
-/** Records by which nodes tell how many requests of each tenant began to run. */
+/** Records by which nodes publish how many requests of each tenant were started. */
 package org.passhaven.protocol.usage;
--- a/protocol/src/test/java/org/passhaven/protocol/CodecTest.java
+++ b/protocol/src/test/java/org/passhaven/protocol/CodecTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against messages that change when encoded and decoded. */
 class CodecTest {
   @Test
   void logEntryKeepsItsTypeAndFields() {
@@ -38,7 +39,7 @@
   }
 
   @Test
-  void brokenBytesAreRefused() {
+  void invalidBytesAreRejected() {
     byte[] noise = "no message".getBytes(StandardCharsets.UTF_8);
     assertThrows(CodecException.class, () -> Codec.decode(noise, PeerRequest.class));
   }
--- a/protocol/src/test/java/org/passhaven/protocol/member/MemberBeatTest.java
+++ b/protocol/src/test/java/org/passhaven/protocol/member/MemberBeatTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.protocol.Codec;
 
-/** Beats with and without server use, as nodes of two versions write them during an upgrade. */
+/** Guards against heartbeats that nodes of another version cannot read during an upgrade. */
 class MemberBeatTest {
-  /** Most bytes that reports of server use may add to a beat. */
+  /** Maximum number of bytes that server use may add to a heartbeat. */
   private static final int MAX_USE_BYTES = 1_024;
 
   private static final int MAX_USES = 32;
 
-  /** A beat as written by nodes that don't know server use. */
+  /** A heartbeat as written by nodes without server use. */
   record OldBeat(
       String node,
       String address,
@@ -36,32 +36,32 @@
   }
 
   @Test
-  void aBeatKeepsWhatItTellsOfServers() {
+  void encodingKeepsServerUse() {
     MemberBeat beat =
         beat(List.of(new ServerUse("s1", 1_785_333_665_078L, 6, 45), new ServerUse("s2", 0, 1, 0)));
     assertThat(Codec.decode(Codec.encode(beat), MemberBeat.class), equalTo(beat));
   }
 
   @Test
-  void aBeatOfAnOlderNodeTellsNothingOfServers() {
+  void aHeartbeatOfAnOlderNodeHasNoServerUse() {
     MemberBeat decoded = Codec.decode(Codec.encode(OLD), MemberBeat.class);
     assertThat(decoded.serverUse(), empty());
     assertThat(decoded, equalTo(beat(List.of())));
   }
 
   @Test
-  void anOlderNodeReadsTheRestOfABeat() {
+  void anOlderNodeIgnoresServerUse() {
     byte[] encoded = Codec.encode(beat(List.of(new ServerUse("s1", 0, 6, 45))));
     assertThat(Codec.decode(encoded, OldBeat.class), equalTo(OLD));
   }
 
   @Test
-  void aBeatThatTellsNothingOfServersIsAsSmallAsBefore() {
+  void emptyServerUseAddsNoBytes() {
     assertThat(Codec.encode(beat(List.of())).length, equalTo(Codec.encode(OLD).length));
   }
 
   @Test
-  void whatABeatMayTellOfServersIsSmall() {
+  void serverUseOfManyServersIsSmall() {
     List<ServerUse> uses = new ArrayList<>();
     for (int i = 0; i < MAX_USES; i++) {
       uses.add(new ServerUse(String.format("i-%010x", i), 1_785_333_665_078L + i, 20, 250));
