--- a/spi/src/main/java/org/passhaven/spi/BackEndException.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndException.java
@@ -2,42 +2,46 @@
 
 import java.util.Objects;
 
-/** A generation ended without its whole text. */
+/** Thrown when a generation ended before its text was complete. */
 public final class BackEndException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the generation. */
+  /** Cause of the failure. */
   public enum Kind {
-    /** The server is full or busy and did not run it. */
+    /** The server is at capacity and did not run the request. */
     REFUSED,
-    /** Another server has the address, or it serves another version; not run. */
+    /**
+     * Another server uses the address, or the server has another version; the request did not run.
+     */
     MISDIRECTED,
-    /** The server failed on it: a 500. */
+    /** The server failed while running the request, with status 500. */
     SERVER_ERROR,
-    /** The server says that it can never be done: a 422. */
+    /** The server reported that the request can never succeed, with status 422. */
     IMPOSSIBLE,
-    /** No connection came up; not run. */
+    /** No connection could be established; the request did not run. */
     UNREACHABLE,
-    /** The stream broke off, or what came is no answer to this request. */
+    /** The stream was interrupted or is not a valid response to the request. */
     CUT,
-    /** Its connection is silent, as others are; that says nothing of the server. */
+    /**
+     * The connection went silent together with others, which does not indicate a server failure.
+     */
     SILENT
   }
 
   private final Kind kind;
 
-  /** Creates the error. */
+  /** Creates the exception. */
   public BackEndException(Kind kind, String message) {
     super(message);
     this.kind = Objects.requireNonNull(kind, "kind");
   }
 
-  /** What is known of the generation. */
+  /** Returns the cause of the failure. */
   public Kind kind() {
     return kind;
   }
 
-  /** The failure as this layer's error; an unknown one counts as a cut stream. */
+  /** Converts a failure to this exception; an unknown failure counts as an interrupted stream. */
   public static BackEndException from(Throwable failure) {
     return failure instanceof BackEndException known
         ? known
--- a/spi/src/main/java/org/passhaven/spi/BackEndService.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndService.java
@@ -7,11 +7,11 @@
 import org.passhaven.protocol.job.HeaderField;
 
 /**
- * Servers that run opaque requests. Each call names the very start of a server that it is meant
- * for; another one at the same address does not run it. Cancelling a call closes its connection.
+ * Client of the servers that run opaque requests. Each call names the server incarnation that it is
+ * meant for; any other at the same address rejects it. Cancelling a call closes its connection.
  */
 public interface BackEndService {
-  /** One start of a server. */
+  /** A server incarnation and its address. */
   record Target(String instance, String address) {
     public Target {
       Objects.requireNonNull(instance, "instance");
@@ -22,10 +22,10 @@
   /**
    * A request to run.
    *
-   * @param id the caller's identity of this attempt
-   * @param uri path and query, unaltered
-   * @param tenant tenant that it runs for; empty if it runs for none
-   * @param deadlineMillis time that the server may take
+   * @param id identity of this attempt, assigned by the caller
+   * @param uri path and query, unmodified
+   * @param tenant tenant that the request belongs to; empty if there is none
+   * @param deadlineMillis maximum time for the server to respond
    */
   record Call(
       String id,
@@ -48,11 +48,11 @@
   }
 
   /**
-   * A whole answer that belongs to its request.
+   * A complete response that was verified to belong to its request.
    *
-   * @param notRun whether the server says that it did not run the request
-   * @param signature the server's proof of its answer; empty if there is none
-   * @param headers header fields to hand on
+   * @param notRun whether the server reports that it did not run the request
+   * @param signature signature of the server for its response; empty if there is none
+   * @param headers header fields to pass on to the caller
    */
   record Answer(
       int status, boolean notRun, String signature, List<HeaderField> headers, byte[] body) {
@@ -60,52 +60,52 @@
       headers = List.copyOf(headers);
     }
 
-    /** Whether the server succeeded. */
+    /** Returns whether the request succeeded. */
     public boolean isSuccess() {
       return status >= 200 && status < 300 && !signature.isEmpty();
     }
   }
 
   /**
-   * Options of a generation.
+   * A request for a generation, with its options.
    *
-   * @param lastEvent event to continue after; zero from the beginning
-   * @param priority 0 to 9, 0 first
+   * @param lastEvent id of the event to continue after; zero to start from the beginning
+   * @param priority priority from 0 (highest) to 9
    */
   record Generation(Call call, long lastEvent, int priority) {}
 
-  /** What a generation tells as it goes on. */
+  /** Progress of a generation. */
   sealed interface Progress {
-    /** The server has begun; {@code version} is zero if it names none. */
+    /** The server has started; {@code version} is zero if it reports none. */
     record Began(long version) implements Progress {}
 
-    /** An event. {@code version} is zero if it is the same as before. */
+    /** An event of the text; {@code version} is zero if unchanged. */
     record Event(long id, long version, String data) implements Progress {}
   }
 
-  /** Runs a request; fails with {@link PlatformException}. */
+  /** Runs a request. Fails with {@link PlatformException}. */
   Uni<Answer> call(Target target, Call call);
 
   /**
-   * The same over a connection that no earlier call has used: whatever keeps an attempt without an
-   * answer does not keep this one.
+   * Runs a request on a new connection, so that it is not affected by a connection that went
+   * silent.
    */
   default Uni<Answer> callAnew(Target target, Call call) {
     return call(target, call);
   }
 
   /**
-   * Runs a generation. The stream ends when the text is whole, and fails with {@link
+   * Runs a generation. The stream completes when the text is complete. Fails with {@link
    * BackEndException}.
    */
   Multi<Progress> generate(Target target, Generation generation);
 
   /**
-   * State of a server.
+   * State reported by a server.
    *
-   * @param busy whether an order is under way
-   * @param sequence orders taken since its start
-   * @param bornMillis time of day of its start, in milliseconds since 1970; zero if it tells none
+   * @param busy whether an order is in progress
+   * @param sequence number of orders accepted since the server started
+   * @param bornMillis start time in milliseconds since 1970; zero if not reported
    */
   record Report(
       boolean busy, long sequence, long bornMillis, java.util.Map<String, Long> versions) {
@@ -114,34 +114,32 @@
     }
   }
 
-  /**
-   * Order to serve a weight version; taken only while the server's sequence is the expected one.
-   */
+  /** Order to load a weight version; accepted only if the server's sequence is the expected one. */
   record Order(String model, long version, String owner, long fence, long expectedSequence) {}
 
-  /** What became of an order. */
+  /** Outcome of an order. */
   enum OrderOutcome {
-    /** It is being carried out. */
+    /** The order is being executed. */
     STARTED,
-    /** It was in effect already. */
+    /** The server already has the version. */
     IN_EFFECT,
-    /** Another order is under way, or the sequence differs. */
+    /** Another order is in progress, or the sequence differs. */
     CONFLICT,
-    /** The server knows a newer holder. */
+    /** The server has seen a higher fencing token. */
     FENCED,
-    /** The server takes no such order. */
+    /** The server rejects the order. */
     REJECTED
   }
 
   /**
-   * Whether one start of a server has ended for certain: nothing listens at its address, or another
-   * start does. Fails if that can't be told.
+   * Determines whether a server incarnation has definitely terminated: nothing listens at its
+   * address, or another incarnation does. Fails if this cannot be determined.
    */
   Uni<Boolean> hasEnded(Target target, long limitMillis);
 
-  /** Asks a server for its state. */
+  /** Requests the state of a server. */
   Uni<Report> report(Target target, long limitMillis);
 
-  /** Orders a weight version. A failed order may still be carried out later. */
+  /** Orders a server to load a weight version. A failed order may still be executed later. */
   Uni<OrderOutcome> order(Target target, Order order, long limitMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/ClockGaps.java
+++ b/spi/src/main/java/org/passhaven/spi/ClockGaps.java
@@ -1,13 +1,13 @@
 package org.passhaven.spi;
 
 /**
- * How often, and how far, a node's clocks have moved apart since it started: its machine was
- * suspended, which the monotonic clock does not count, or its time of day was set.
+ * Number and total size of the clock jumps at a node since it started. A jump is a divergence of
+ * the monotonic clock and the time of day, because the machine was suspended or its time was set.
  *
- * @param count of the gaps
- * @param lostMillis time that the monotonic clock may not have counted, all gaps together
+ * @param count number of jumps
+ * @param lostMillis total time that the monotonic clock may not have counted
  */
 public record ClockGaps(long count, long lostMillis) {
-  /** No gap was seen. */
+  /** No jumps detected. */
   public static final ClockGaps NONE = new ClockGaps(0, 0);
 }
--- a/spi/src/main/java/org/passhaven/spi/DutyService.java
+++ b/spi/src/main/java/org/passhaven/spi/DutyService.java
@@ -5,23 +5,23 @@
 import java.util.Objects;
 
 /**
- * Calls to the platform that are the duty of one node at a time. Nothing can be read back, and a
- * call without an answer may have been done.
+ * Platform calls that only one node at a time performs. Their effects cannot be read back, and a
+ * call without a response may have taken effect.
  */
 public interface DutyService {
-  /** A platform without such duties. */
+  /** Implementation for a platform without such calls. */
   DutyService NONE =
       (usage, limitMillis) ->
           Uni.createFrom()
               .failure(new PlatformException(PlatformException.Kind.NOT_RUN, "no such duty"));
 
   /**
-   * Requests that began to run in a window.
+   * Number of requests started in a window.
    *
-   * @param owner node that holds the duty
-   * @param fence fencing token of the holder
+   * @param owner node that holds the lease
+   * @param fence fencing token of the lease
    * @param window number of the window
-   * @param counts requests by tenant
+   * @param counts number of requests by tenant
    */
   record Usage(String owner, long fence, long window, Map<String, Long> counts) {
     public Usage {
@@ -30,6 +30,6 @@
     }
   }
 
-  /** Reports usage; an exact repeat is harmless. Fails with {@link PlatformException}. */
+  /** Reports usage. Identical reports are idempotent. Fails with {@link PlatformException}. */
   Uni<Void> reportUsage(Usage usage, long limitMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/EngineService.java
+++ b/spi/src/main/java/org/passhaven/spi/EngineService.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import org.passhaven.protocol.Segment;
 
-/** Model engines. Each call names the engine by its address. */
+/** Client of the model engines. Each call identifies the engine by its address. */
 public interface EngineService {
   /**
-   * A generation to begin or to resume.
+   * A generation to start or resume.
    *
-   * @param requestId unique; names the generation in cancel and export
-   * @param seed decides the sampling together with the prompt
-   * @param prefix tokens that the sample already has
-   * @param priority higher goes first
+   * @param requestId unique id of the generation, used by cancel and export
+   * @param seed random seed; determines the sampling together with the prompt
+   * @param prefix tokens generated so far
+   * @param priority priority; higher values go first
    */
   record GenerationRequest(
       String requestId, String model, String prompt, long seed, int[] prefix, int priority) {}
 
-  /** Load and state that an engine reports, with a lag. */
+  /** Load and state reported by an engine, with a delay. */
   record Report(
       long incarnation,
       String model,
@@ -28,19 +28,19 @@
       int queued,
       int capacity,
       boolean leaving) {
-    /** Sequences on the engine. */
+    /** Returns the number of running and queued sequences. */
     public int load() {
       return running + queued;
     }
   }
 
   /**
-   * Fenced order to serve a weight version; an engine refuses an epoch below the highest it has
+   * Fenced order to load a weight version; an engine rejects an epoch below the highest that it has
    * seen.
    */
   record VersionOrder(String model, long version, long epoch) {}
 
-  /** What became of an order. */
+  /** Outcome of an order. */
   enum OrderOutcome {
     DONE,
     STALE_EPOCH,
@@ -48,19 +48,19 @@
   }
 
   /**
-   * Generates tokens. Each segment names the version that generated its tokens. The stream ends
-   * when the sample is whole, fails with {@link PlatformException} if it was cut, and is stopped by
-   * cancelling.
+   * Generates tokens. Each segment names the version that generated its tokens. The stream
+   * completes when the sample is complete, fails with {@link PlatformException} if it is
+   * interrupted, and is stopped by cancellation.
    */
   Multi<Segment> generate(String address, GenerationRequest request);
 
-  /** Reports load and state. */
+  /** Requests the load and state of an engine. */
   Uni<Report> report(String address);
 
-  /** Orders a weight version; answers when the swap is done or has failed. */
+  /** Orders an engine to load a weight version; completes when the swap has succeeded or failed. */
   Uni<OrderOutcome> order(String address, VersionOrder order);
 
-  /** Tokens of several segments in order. */
+  /** Returns the tokens of several segments in order. */
   static int[] tokensOf(List<Segment> segments) {
     return segments.stream()
         .flatMapToInt(segment -> java.util.Arrays.stream(segment.tokens()))
--- a/spi/src/main/java/org/passhaven/spi/IdleTimeoutCall.java
+++ b/spi/src/main/java/org/passhaven/spi/IdleTimeoutCall.java
@@ -5,73 +5,75 @@
 import io.smallrye.mutiny.subscription.UniEmitter;
 import java.util.function.Function;
 
-/** One call that is given up after a silence; used on the thread of its timers. */
-final class LimitedCall<T> {
+/** A call that times out after a period without activity. Runs on the thread of its timers. */
+final class IdleTimeoutCall<T> {
   private final Timers timers;
-  private final long silenceMillis;
-  private final String what;
+  private final long idleTimeoutMillis;
+  private final String description;
   private final UniEmitter<? super T> emitter;
   private Timers.Timer timer;
-  private Cancellable running;
-  private boolean over;
+  private Cancellable subscription;
+  private boolean ended;
 
-  LimitedCall(Timers timers, long silenceMillis, String what, UniEmitter<? super T> emitter) {
+  IdleTimeoutCall(
+      Timers timers, long idleTimeoutMillis, String description, UniEmitter<? super T> emitter) {
     this.timers = timers;
-    this.silenceMillis = silenceMillis;
-    this.what = what;
+    this.idleTimeoutMillis = idleTimeoutMillis;
+    this.description = description;
     this.emitter = emitter;
   }
 
-  void begin(Function<Runnable, Uni<T>> call) {
-    emitter.onTermination(this::abandon);
-    waitOn();
-    running =
-        call.apply(this::onSignOfLife)
+  void start(Function<Runnable, Uni<T>> call) {
+    emitter.onTermination(this::cancel);
+    startTimer();
+    subscription =
+        call.apply(this::onActivity)
             .subscribe()
             .with(
                 item -> {
-                  if (end()) {
+                  if (markEnded()) {
                     emitter.complete(item);
                   }
                 },
                 failure -> {
-                  if (end()) {
+                  if (markEnded()) {
                     emitter.fail(failure);
                   }
                 });
   }
 
-  private void waitOn() {
-    timer = timers.after(silenceMillis, this::giveUp);
+  private void startTimer() {
+    timer = timers.after(idleTimeoutMillis, this::onTimeout);
   }
 
-  private void onSignOfLife() {
-    if (!over) {
+  private void onActivity() {
+    if (!ended) {
       timer.cancel();
-      waitOn();
+      startTimer();
     }
   }
 
-  private void giveUp() {
-    if (!over) {
-      abandon();
+  private void onTimeout() {
+    if (!ended) {
+      cancel();
       emitter.fail(
-          new PlatformException(PlatformException.Kind.OUTCOME_UNKNOWN, what + " timed out"));
+          new PlatformException(
+              PlatformException.Kind.OUTCOME_UNKNOWN, description + " timed out"));
     }
   }
 
-  /** Nobody waits any more. */
-  private void abandon() {
-    if (end() && running != null) {
-      running.cancel();
+  /** Cancels the call after a timeout or when its subscriber cancels. */
+  private void cancel() {
+    if (markEnded() && subscription != null) {
+      subscription.cancel();
     }
   }
 
-  private boolean end() {
-    if (over) {
+  private boolean markEnded() {
+    if (ended) {
       return false;
     }
-    over = true;
+    ended = true;
     timer.cancel();
     return true;
   }
--- a/spi/src/main/java/org/passhaven/spi/LogService.java
+++ b/spi/src/main/java/org/passhaven/spi/LogService.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * The platform's append-only log. No compare-and-set is assumed. An append may take effect although
- * its answer is lost; callers repeat it and readers drop copies.
+ * Client of the platform's append-only log, which needs no compare-and-set. An append may take
+ * effect although its response is lost; callers retry it and readers drop duplicates.
  */
 public interface LogService {
-  /** Offset that asks for the last record of a stream only. */
+  /** Offset that requests only the last record of a stream. */
   long LAST = -1;
 
   /**
-   * Records read.
+   * A batch of records returned by a read.
    *
-   * @param firstOffset offset of the first record given; past the asked one if the stream was
+   * @param firstOffset offset of the first record returned; higher than requested if the stream was
    *     truncated
-   * @param endOffset offset that the next append will get
+   * @param endOffset offset of the next append
    */
   record Batch(long firstOffset, List<byte[]> records, long endOffset) {
     public Batch {
@@ -25,26 +25,31 @@
   }
 
   /**
-   * Appends records in order; gives the offset of the first. Fails with {@link PlatformException}.
+   * Appends records in order and returns the offset of the first. Fails with {@link
+   * PlatformException}.
    */
   Uni<Long> append(String stream, List<byte[]> records);
 
   /**
-   * Allows the log to forget the records before an offset. A log that keeps everything does
-   * nothing.
+   * Allows the log to delete the records before an offset. Does nothing if the log keeps all
+   * records.
    */
   default Uni<Void> trim(String stream, long beforeOffset) {
     return Uni.createFrom().voidItem();
   }
 
   /**
-   * Reads what is there from an offset, some {@code maxBytes} of it and at least one record. A long
-   * answer over a slow link may take its time: such a read is given up after a silence only.
+   * Reads existing records from an offset: about {@code maxBytes}, but at least one record. A large
+   * response over a slow link may take long, so the read times out only after a period without
+   * activity.
    */
   default Uni<Batch> readHistory(String stream, long fromOffset, int maxBytes) {
     return read(stream, fromOffset, Integer.MAX_VALUE, 0);
   }
 
-  /** Reads from an offset; waits up to {@code waitMillis} for a first record. */
+  /**
+   * Reads up to {@code most} records from an offset; waits up to {@code waitMillis} for the first
+   * one.
+   */
   Uni<Batch> read(String stream, long fromOffset, int most, long waitMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/MachineList.java
+++ b/spi/src/main/java/org/passhaven/spi/MachineList.java
@@ -3,35 +3,35 @@
 import io.smallrye.mutiny.Uni;
 import java.util.List;
 
-/** The platform's lagging list of live and leaving machines. */
+/** Client of the platform's list of live and leaving machines. The list is updated with a delay. */
 public interface MachineList {
-  /** What a machine is. */
+  /** Type of a machine. */
   enum Kind {
     NODE,
     ENGINE,
     SERVICE
   }
 
-  /** Whether a machine stays. */
+  /** Lifecycle state of a machine. */
   enum State {
     LIVE,
     LEAVING
   }
 
   /**
-   * One machine.
+   * A machine in the list.
    *
-   * @param group engine group or server group; for nodes empty
+   * @param group engine group or server group; empty for nodes
    * @param address host and port
    */
   record Machine(String id, Kind kind, String group, String address, String zone, State state) {}
 
   /**
-   * The list at a version, as changes since the known one or whole.
+   * The list at a version, either in full or as changes since the known version.
    *
-   * @param whole whether {@code machines} are all there are, not just those that changed
-   * @param machines machines that are new or changed
-   * @param removed names of machines that are gone; empty if the list is whole
+   * @param whole whether {@code machines} is the full list rather than the changes
+   * @param machines all machines, or those added or changed
+   * @param removed ids of removed machines; empty if the list is full
    */
   record Listing(long version, boolean whole, List<Machine> machines, List<String> removed) {
     public Listing {
@@ -40,6 +40,9 @@
     }
   }
 
-  /** What changed since {@code knownVersion}; the whole list if that is negative or too old. */
+  /**
+   * Fetches the changes since {@code knownVersion}, or the full list if that is negative or too
+   * old.
+   */
   Uni<Listing> fetch(long knownVersion);
 }
--- a/spi/src/main/java/org/passhaven/spi/Platform.java
+++ b/spi/src/main/java/org/passhaven/spi/Platform.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Everything outside that a node talks to. */
+/** The external services that a node uses. */
 public record Platform(
     LogService log,
     MachineList machines,
--- a/spi/src/main/java/org/passhaven/spi/PlatformException.java
+++ b/spi/src/main/java/org/passhaven/spi/PlatformException.java
@@ -2,43 +2,53 @@
 
 import java.util.Objects;
 
-/**
- * A failure in reaching something outside, with what is known of whether the request took effect.
- */
+/** Thrown when a request to an external service failed, with what is known about its effect. */
 public final class PlatformException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the request's effect. */
+  /** What is known about the effect of the request. */
   public enum Kind {
-    /** No byte of the request reached the other side, or it said that it did not run it. */
+    /**
+     * No byte of the request reached the server, or the server reported that it did not run the
+     * request.
+     */
     NOT_RUN,
     /** The request may have taken effect. */
     OUTCOME_UNKNOWN,
-    /** This node did not send it, since too much is under way there: no sign against a server. */
+    /**
+     * This node did not send the request, because too much is in flight to the server. Does not
+     * indicate a server failure.
+     */
     HELD_BACK,
-    /** It was answered, and this node had no room for the answer: no sign against a server. */
+    /**
+     * The server responded, but this node had no memory for the response. Does not indicate a
+     * server failure.
+     */
     ANSWER_DROPPED
   }
 
   private final Kind kind;
 
-  /** Creates the error. */
+  /** Creates the exception. */
   public PlatformException(Kind kind, String message, Throwable cause) {
     super(message, cause);
     this.kind = Objects.requireNonNull(kind, "kind");
   }
 
-  /** Creates the error without a cause. */
+  /** Creates the exception without a cause. */
   public PlatformException(Kind kind, String message) {
     this(kind, message, null);
   }
 
-  /** What is known of the request's effect. */
+  /** Returns what is known about the effect of the request. */
   public Kind kind() {
     return kind;
   }
 
-  /** The failure as this layer's error; one that it does not know counts as outcome unknown. */
+  /**
+   * Converts a failure to this exception; an unknown failure counts as {@link
+   * Kind#OUTCOME_UNKNOWN}.
+   */
   public static PlatformException from(Throwable failure) {
     return failure instanceof PlatformException known
         ? known
--- a/spi/src/main/java/org/passhaven/spi/ServiceBackEnd.java
+++ b/spi/src/main/java/org/passhaven/spi/ServiceBackEnd.java
@@ -3,9 +3,9 @@
 import io.smallrye.mutiny.Uni;
 import java.util.Objects;
 
-/** Servers of named services: portals, till applications, scorers. */
+/** Client of the servers of named services, such as scorers. */
 public interface ServiceBackEnd {
-  /** A request as it is sent on. {@code idempotencyKey} is empty if there is none. */
+  /** A request to forward; {@code idempotencyKey} is empty if there is none. */
   record Request(
       String method, String path, String contentType, byte[] body, String idempotencyKey) {
     public Request {
@@ -14,12 +14,12 @@
     }
   }
 
-  /** A whole answer. */
+  /** A complete response. */
   record Response(int status, String contentType, byte[] body) {}
 
   /**
-   * Sends a request and gives the whole answer. Fails with {@link PlatformException}: not run if no
-   * byte was sent or the server said so, else outcome unknown.
+   * Sends a request and returns the complete response. Fails with {@link PlatformException}: {@code
+   * NOT_RUN} if no byte was sent or the server said so, otherwise {@code OUTCOME_UNKNOWN}.
    */
   Uni<Response> call(String address, Request request, long limitMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/TableService.java
+++ b/spi/src/main/java/org/passhaven/spi/TableService.java
@@ -3,20 +3,20 @@
 import io.smallrye.mutiny.Uni;
 import java.util.List;
 
-/** Tables of documents by key in the platform's store, and the stream of their changes. */
+/** Client of the platform's key-value tables and their change streams. */
 public interface TableService {
   /**
-   * The newest document under a key.
+   * The current document under a key.
    *
-   * @param value the document; null if it was removed
+   * @param value document; null if it was removed
    */
   record Entry(String key, byte[] value) {}
 
   /**
-   * Part of a table.
+   * A page of a table listing.
    *
-   * @param more whether there are keys after the last one given
-   * @param end position after the newest change when the part was read
+   * @param more whether there are keys after the last one in the page
+   * @param end position in the change stream after the newest change contained in the page
    */
   record Page(List<Entry> entries, boolean more, long end) {
     public Page {
@@ -25,10 +25,11 @@
   }
 
   /**
-   * Changes from a position on.
+   * Changes since a position.
    *
-   * @param truncated whether the position is no longer kept; the table has to be listed anew
-   * @param end position to go on from
+   * @param truncated whether the position is no longer available, so that the table must be listed
+   *     again
+   * @param end position to continue from
    */
   record Changes(List<Entry> entries, boolean truncated, long end) {
     public Changes {
@@ -36,12 +37,12 @@
     }
   }
 
-  /** Lists a table in the order of its keys, after {@code afterKey}; empty for the first part. */
+  /** Lists a table in key order after {@code afterKey}, which is empty for the first page. */
   Uni<Page> list(String table, String afterKey);
 
-  /** Reads changes; waits up to {@code waitMillis} for a first one. */
+  /** Reads changes; waits up to {@code waitMillis} for the first one. */
   Uni<Changes> changes(String table, long from, long waitMillis);
 
-  /** Writes documents, all or none; those without a value are removed. */
+  /** Writes documents atomically; those without a value are removed. */
   Uni<Void> put(String table, List<Entry> entries);
 }
--- a/spi/src/main/java/org/passhaven/spi/Timers.java
+++ b/spi/src/main/java/org/passhaven/spi/Timers.java
@@ -5,28 +5,31 @@
 import java.util.function.Function;
 
 /**
- * Monotonic clock and timers of one node; virtual in the simulator. Callbacks run on the node's own
- * thread. The monotonic clock does not count the time in which the machine is suspended.
+ * Clocks and timers of a node; simulated in the simulator. Callbacks run on the node's own thread.
+ * The monotonic clock does not advance while the machine is suspended.
  */
 public interface Timers {
-  /** A timer that was set. */
+  /** A scheduled task. */
   interface Timer {
-    /** Stops the timer; harmless if it ran. */
+    /** Cancels the task. Has no effect if it has already run. */
     void cancel();
   }
 
-  /** Monotonic milliseconds since some fixed moment. */
+  /** Returns monotonic milliseconds since an arbitrary origin. */
   long nowMillis();
 
   /**
-   * Time of day in milliseconds. It counts the time in which the machine was suspended, and may
-   * jump both ways.
+   * Returns the time of day in milliseconds. It advances while the machine is suspended and may
+   * jump forwards or backwards.
    */
   default long timeOfDayMillis() {
     return nowMillis();
   }
 
-  /** Gaps between the clocks, those included that the newest call of {@link #nowMillis} found. */
+  /**
+   * Returns the clock jumps so far, including any detected by the latest call of {@link
+   * #nowMillis}.
+   */
   default ClockGaps clockGaps() {
     return ClockGaps.NONE;
   }
@@ -34,39 +37,41 @@
   /** Runs {@code task} once after a delay. */
   Timer after(long delayMillis, Runnable task);
 
-  /** Runs {@code task} again and again, the first time after {@code delayMillis}. */
+  /** Runs {@code task} repeatedly with a delay of {@code delayMillis} before each run. */
   default Timer every(long delayMillis, Runnable task) {
     AtomicBoolean cancelled = new AtomicBoolean();
-    Runnable[] again = new Runnable[1];
-    again[0] =
+    Runnable[] repeat = new Runnable[1];
+    repeat[0] =
         () -> {
           if (!cancelled.get()) {
             task.run();
-            after(delayMillis, again[0]);
+            after(delayMillis, repeat[0]);
           }
         };
-    after(delayMillis, again[0]);
+    after(delayMillis, repeat[0]);
     return () -> cancelled.set(true);
   }
 
   /**
-   * {@code uni} with a time limit: past it the outcome is unknown, and {@code uni} is cancelled, as
-   * it is when nobody waits for the outcome any more.
+   * Returns {@code uni} with a timeout. On timeout the result fails with an unknown outcome and
+   * {@code uni} is cancelled; it is also cancelled when the subscriber cancels.
    */
-  default <T> Uni<T> limit(Uni<T> uni, long limitMillis, String what) {
-    return limitSilence(signOfLife -> uni, limitMillis, what);
+  default <T> Uni<T> limit(Uni<T> uni, long limitMillis, String description) {
+    return limitSilence(onActivity -> uni, limitMillis, description);
   }
 
   /**
-   * A call that may take as long as it likes as long as there are signs of life: after a silence of
-   * {@code silenceMillis} the outcome is unknown, and the call is cancelled, as it is when nobody
-   * waits for the outcome any more.
+   * Returns the result of a call with an idle timeout. After {@code idleTimeoutMillis} without
+   * activity the result fails with an unknown outcome and the call is cancelled; it is also
+   * cancelled when the subscriber cancels.
    *
-   * @param call begins the call; it is given what to run at each sign of life
+   * @param call starts the call; its argument must be run at each sign of activity
    */
   default <T> Uni<T> limitSilence(
-      Function<Runnable, Uni<T>> call, long silenceMillis, String what) {
+      Function<Runnable, Uni<T>> call, long idleTimeoutMillis, String description) {
     return Uni.createFrom()
-        .emitter(emitter -> new LimitedCall<T>(this, silenceMillis, what, emitter).begin(call));
+        .emitter(
+            emitter ->
+                new IdleTimeoutCall<T>(this, idleTimeoutMillis, description, emitter).start(call));
   }
 }
--- a/spi/src/main/java/org/passhaven/spi/package-info.java
+++ b/spi/src/main/java/org/passhaven/spi/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Narrow interfaces to everything outside passhaven's own processes. One implementation a site's
- * dialect.
+ * Interfaces to the external services that passhaven uses; each platform has its own
+ * implementation.
  */
 package org.passhaven.spi;
