--- a/node/src/main/java/org/passhaven/node/gateway/AdmissionLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/AdmissionLog.java
@@ -8,28 +8,28 @@
 import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Logs requests that wait for a place or are rejected. Not thread-safe. */
+/** Logs requests that admission control queues or rejects. Not thread-safe. */
 final class AdmissionLog {
   private static final Logger LOG = LoggerFactory.getLogger(RequestAdmission.class);
   private static final long SECOND_MILLIS = 1_000;
 
-  /** Most rejections logged in one second; the metrics count all of them. */
+  /** Limits the log volume under overload; the metrics count every rejection. */
   private static final int MAX_REJECTIONS_PER_SECOND = 20;
 
-  /** Before any time that is given, with no overflow when subtracted. */
+  /** Earlier than any clock reading, yet safe to subtract without overflow. */
   private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
 
   private long secondBeganAtMillis = LONG_AGO_MILLIS;
   private int linesInSecond;
 
-  /** A request waits for a place. */
+  /** Logs that a request was queued. */
   void onWaits(String id, AdmissionRequest request, Load load, double expectedWaitMillis) {
     line(Level.DEBUG, id, request, load)
         .addKeyValue("expectedWaitMillis", (long) expectedWaitMillis)
         .log("admission: waits");
   }
 
-  /** A request was rejected before it was sent. */
+  /** Logs that a request was rejected before it was sent, up to a limit per second. */
   void onRejected(String id, AdmissionRequest request, Load load, Reject verdict, long nowMillis) {
     if (nowMillis - secondBeganAtMillis >= SECOND_MILLIS) {
       secondBeganAtMillis = nowMillis;
--- a/node/src/main/java/org/passhaven/node/gateway/Directory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Directory.java
@@ -20,19 +20,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Configuration, named weight versions and servers as this node knows them. A configuration version
- * never goes back within the life of the process.
+ * This node's view of the routing configuration, the newest weight version of each model and the
+ * registered model servers, kept up to date by following the platform's tables. The configuration
+ * version never decreases while the process runs. Not thread-safe: used on the node's event loop.
  */
 public final class Directory {
   private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
 
-  /** A look into the table takes some 10 ms, and 250 ms where the store is slow. */
+  /** Longer than a read of the operator's table takes on a slow store. */
   private static final long CONFIRM_LIMIT_MILLIS = 400;
 
-  /** Part of the time to put news in force within which what is known need not be confirmed. */
+  /** Divisor of the propagation limit: a configuration read more recently is not read again. */
   private static final int FRESH_PART = 2;
 
-  /** Keys of entries that can't be read that are remembered, so that each is logged once. */
+  /** Limits the remembered keys of unreadable entries, each of which is logged once. */
   private static final int MOST_UNREADABLE = 1_000;
 
   private final GatewayContext context;
@@ -45,9 +46,9 @@
   private RouteTable routes = RouteTable.EMPTY;
 
   /**
-   * Creates the directory.
+   * Creates a directory; {@link #start} begins to follow the tables.
    *
-   * @param betweenServersMillis pause between reads of servers' entries that change
+   * @param betweenServersMillis pause between reads of changed server entries, in milliseconds
    */
   public Directory(GatewayContext context, LongSupplier betweenServersMillis) {
     this.context = Objects.requireNonNull(context, "context");
@@ -70,41 +71,41 @@
             new ServerListener());
   }
 
-  /** Begins to follow. */
+  /** Starts following the tables of the operator and of the servers. */
   public void start() {
     operator.start();
     serverEntries.start();
   }
 
-  /** This node has come to need servers' entries as they change. */
+  /** Ends the current pause between reads, for a node that now needs changes of servers at once. */
   void hurry() {
     serverEntries.hurry();
   }
 
-  /** What this node waits for may never come: reads are begun anew. */
+  /** Restarts pending reads, which may never complete after a suspension of the process. */
   void renew() {
     operator.renew();
     serverEntries.renew();
   }
 
-  /** Calls {@code listener} after each change. */
+  /** Adds a listener that runs after each change. */
   public void addListener(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Routes in force. */
+  /** Returns the routes in force. */
   public RouteTable routes() {
     return routes;
   }
 
-  /** Whether a configuration is known. */
+  /** Returns whether a configuration was read and the servers were listed. */
   public boolean isConfigured() {
     return routes.version() > 0 && serverEntries.isListed();
   }
 
   /**
-   * Looks into the operator's table unless it was read lately. Gives true if every configuration
-   * that has to be in force is, false if the store can't tell soon.
+   * Reads the operator's table unless it was read recently. Emits true once every configuration
+   * that must be in force is in force, false if the store does not answer in time.
    */
   public Uni<Boolean> confirmConfiguration() {
     if (operator.wasReadWithin(context.settings().inForce().toMillis() / FRESH_PART)) {
@@ -118,31 +119,31 @@
   }
 
   /**
-   * How long ago the store last told that there is no newer configuration, or gave it; empty if it
-   * never did.
+   * Returns the time since the store last confirmed or delivered the newest configuration; empty if
+   * it never did.
    */
   public OptionalLong configurationAgeMillis() {
     return operator.silentMillis();
   }
 
-  /** Servers as they list themselves. */
+  /** Returns the registered servers. */
   public ServerTable servers() {
     return servers;
   }
 
-  /** Newest named weight version by model. */
+  /** Returns the newest named weight version of each model. */
   public Map<String, NamedVersion> named() {
     return named;
   }
 
-  /** Number of the newest named weight version by model. */
+  /** Returns the number of the newest named weight version of each model. */
   public Map<String, Long> newestVersions() {
     Map<String, Long> versions = new HashMap<>();
     named.forEach((model, newest) -> versions.put(model, newest.version()));
     return versions;
   }
 
-  /** A server told that it holds a weight version, before its entry says so. */
+  /** Records that a server has loaded a weight version, which its entry may not show yet. */
   public void onReached(ServerStart start, String model, long version) {
     ServerEntry before = servers.get(start);
     servers.onReached(start, model, version);
@@ -212,7 +213,7 @@
   }
 
   private final class ServerListener implements TableFollower.Listener {
-    /** Why entries can't be read, by key. */
+    /** Reasons why entries are unreadable, by key. */
     private final Map<String, String> unreadable = new HashMap<>();
 
     @Override
@@ -231,7 +232,7 @@
       }
     }
 
-    /** What can't be read names no server: the entry that stood there before is not used either. */
+    /** Stores an entry; an unreadable one removes the earlier entry of the same key. */
     private void put(String key, byte[] value) {
       try {
         servers.put(documents.server(key, value));
@@ -243,7 +244,7 @@
       }
     }
 
-    /** Entries are written anew with each heartbeat: a line tells of the first one only. */
+    /** Logs a key once for each reason, since servers rewrite their entries with each heartbeat. */
     private void logUnreadable(String key, String reason) {
       boolean isNews = !reason.equals(unreadable.get(key));
       if (isNews && unreadable.size() < MOST_UNREADABLE) {
--- a/node/src/main/java/org/passhaven/node/gateway/Duty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Duty.java
@@ -2,17 +2,17 @@
 
 import org.passhaven.protocol.duty.DutyRecord;
 
-/** Calls to the outside that one node at a time may make, as {@link DutyAgent} decides. */
+/** Calls to external systems that only the holder of the duty lease may make. */
 interface Duty {
-  /** Whether something is due, so that a holder is needed; asked at every node. */
+  /** Returns whether work is due, so that a lease holder is needed; called on every node. */
   boolean isNeeded(long nowMillis);
 
-  /** Does what is due; called at the holder only, at a moment at which it may act. */
+  /** Does the work that is due; called only while this node holds a valid lease. */
   void act(long nowMillis);
 
-  /** This node has come to hold the lease, or holds it no longer. */
+  /** Called when this node acquires or loses the lease. */
   void onHolderChanged(boolean isHolder);
 
-  /** A record of the stream was read, whoever wrote it. */
+  /** Called for each record read from the duty stream, including records of other nodes. */
   void onRecord(DutyRecord record);
 }
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -14,26 +14,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the {@link DutyLease} and lets the duties act at the node that holds it. There is one
- * lease for all of them: what a change of hands costs is the wait, and it is the same for one duty
- * or many.
+ * Competes for the {@link DutyLease} and runs all duties while this node holds it. All duties share
+ * one lease. Not thread-safe: used on the node's event loop.
  */
 final class DutyAgent {
   private static final Logger LOG = LoggerFactory.getLogger(DutyAgent.class);
   private static final String STREAM = "orders.0";
 
-  /** Below the spacing of candidates, so that nobody is overtaken by one who looks later. */
+  /** Shorter than the claim delay between candidates, so that they claim in order of their rank. */
   private static final long STANDBY_MILLIS = 300;
 
-  /**
-   * News of loads comes in batches to who runs jobs or may order next; servers' entries are older.
-   */
+  /** Pause between reads on nodes that run jobs or may claim the lease next. */
   private static final long STANDBY_READ_MILLIS = 150;
 
-  /** Below the silence of a holder that is alive after which the first candidate claims. */
+  /** Shorter than the silence of a live holder after which the first candidate claims the lease. */
   private static final long IDLE_READ_MILLIS = 1_000;
 
-  /** Candidates behind these are patient for longer than {@link #IDLE_READ_MILLIS}. */
+  /** Candidates of a higher rank wait longer than {@link #IDLE_READ_MILLIS} before they claim. */
   private static final int CLOSE_CANDIDATES = 4;
 
   private final GatewayContext context;
@@ -49,7 +46,7 @@
   private int callsUnderWay;
   private long unansweredAtMillis = Long.MIN_VALUE / 2;
 
-  /** Creates the agent; {@link #start} begins. */
+  /** Creates an agent; {@link #start} begins its work. */
   DutyAgent(GatewayContext context, MemberAgent members, JobLog jobs) {
     this.context = Objects.requireNonNull(context, "context");
     this.members = Objects.requireNonNull(members, "members");
@@ -60,56 +57,58 @@
         new LogTail(context.log(), context.timers(), STREAM, this::pauseMillis, new LeaseReader());
   }
 
-  /** Adds a duty; before {@link #start}. */
+  /** Adds a duty. Must be called before {@link #start}. */
   void add(Duty duty) {
     duties.add(Objects.requireNonNull(duty, "duty"));
   }
 
-  /** Begins to follow the lease and, as its holder, to act. */
+  /** Starts following the lease and, while this node holds it, running the duties. */
   void start() {
     tail.start(0);
     context.timers().every(context.settings().tick().toMillis(), this::decide);
     jobs.addOwnerListener(tail::hurry);
   }
 
-  /** What this node waits for may never come: reads are begun anew. */
+  /** Restarts pending reads, which may never complete after a suspension of the process. */
   void renew() {
     tail.renew();
   }
 
-  /** Whether this node holds the lease, as far as it knows. */
+  /** Returns whether this node holds the lease according to the records read so far. */
   boolean isHolder() {
     return lease.isHolder();
   }
 
-  /** Whether a call may be sent at this very moment. */
+  /** Returns whether the lease is valid now, so that a call may be sent. */
   boolean mayAct() {
     return !stopping && lease.mayAct(now());
   }
 
-  /** Fencing token of the holder's calls. */
+  /** Returns the epoch of the lease, which is the fencing token of the holder's calls. */
   long epoch() {
     return lease.epoch();
   }
 
-  /** Acts no more, and says so once all calls under way are answered. */
+  /** Stops the duties, and releases the lease once all calls in flight are answered. */
   void stop() {
     stopping = true;
     releaseIfDone();
   }
 
-  /** A call of a duty is sent. */
+  /** Counts a call that a duty sends. */
   void onCallSent() {
     callsUnderWay++;
   }
 
-  /** A call of a duty was answered: it is no longer on its way. */
+  /** Records that a call was answered and is no longer in flight. */
   void onCallAnswered() {
     callsUnderWay--;
     releaseIfDone();
   }
 
-  /** A call got no answer and may still be on its way: the lease can't be given up early. */
+  /**
+   * Records that a call got no answer. It may still arrive, which delays a release of the lease.
+   */
   void onCallUnanswered() {
     callsUnderWay--;
     unansweredAtMillis = context.now();
@@ -169,7 +168,7 @@
     return jobs.isRunner() || rank() < CLOSE_CANDIDATES ? STANDBY_READ_MILLIS : IDLE_READ_MILLIS;
   }
 
-  /** Asked before each call: by then a suspension has ended the lease. */
+  /** Returns the current time, after ending the lease if the process was suspended. */
   private long now() {
     long now = context.now();
     long gaps = context.timers().clockGaps().count();
@@ -180,14 +179,14 @@
     return now;
   }
 
-  /** Who neither acts nor is about to take over looks less often whether something is due. */
+  /** Returns whether this decision can be skipped: another live node holds the lease. */
   private boolean isOnStandby(long nowMillis) {
     return !lease.isHolder()
         && members.beats().isTaking(lease.holder(), lease.holderIncarnation())
         && nowMillis - decidedAtMillis < STANDBY_MILLIS;
   }
 
-  /** Looks what is due now. */
+  /** Claims or renews the lease if needed, and runs the duties if this node holds it. */
   void decide() {
     if (stopping || !tail.isCaughtUp()) {
       return;
@@ -197,7 +196,7 @@
       return;
     }
     decidedAtMillis = now;
-    // Whether another holder is alive needs no watching where this node itself was the holder.
+    // A former holder need not know the liveness of other nodes: only itself held the lease.
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
     boolean mayClaim = members.isSettled() || (isFormerHolder && members.isInTouch());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
@@ -212,8 +211,8 @@
   }
 
   /**
-   * Place among the candidates. The node that held the lease before it was started anew comes
-   * first: it alone need not wait for calls of its earlier start.
+   * Returns this node's rank among the candidates. A restarted holder comes first, since only it
+   * need not wait for calls sent before its restart.
    */
   private int rank() {
     String node = context.settings().node();
@@ -224,7 +223,7 @@
     return behindHolder + members.beats().rankByYouth(node);
   }
 
-  /** Writes a record of the holder's; the stream tells what became of it. */
+  /** Appends a record to the duty stream; it takes effect when it is read back. */
   void append(DutyRecord record) {
     if (record instanceof DutyRecord.Claimed claim) {
       LOG.atInfo()
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -16,7 +16,7 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.Timers;
 
-/** The attempts of one request that are in progress, and the timers of its hedges. */
+/** Sends the attempts of one request to servers, and schedules its hedged attempts. */
 final class ForwardAttempts {
   private final GatewayContext context;
   private final ServerHealth health;
@@ -28,15 +28,15 @@
   private int begun;
   private boolean isOver;
 
-  /** Is told the result of each attempt. Times of sending are monotonic milliseconds. */
+  /** Receives the result of each attempt. Times of sending are in monotonic milliseconds. */
   interface Listener {
-    /** A server has answered. */
+    /** Called when a server has answered. */
     void onAnswer(ServerEntry server, Answer answer, long sentAtMillis);
 
-    /** An attempt has ended without an answer. */
+    /** Called when an attempt has ended without an answer. */
     void onFailure(ServerEntry server, PlatformException failure, long sentAtMillis);
 
-    /** A server has not answered within the hedge delay: a second attempt may be made elsewhere. */
+    /** Called when a server has not answered within the hedge delay. */
     void onSilent(ServerEntry server);
   }
 
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Sends the request to a server. A hedge goes over a new connection, since kept connections may
-   * have gone silent together.
+   * Sends the request to a server. A hedged attempt uses a new connection, since the pooled
+   * connections may all be broken.
    *
    * @param isHedge whether another attempt is in progress
    */
@@ -77,7 +77,7 @@
                   inProgress.remove(attempt);
                   listener.onFailure(server, PlatformException.from(failure), sentAt);
                 });
-    // An attempt may have ended within the call that sent it.
+    // The attempt may have ended during subscribe().
     if (inProgress.replace(attempt, sending) == null) {
       return;
     }
@@ -104,17 +104,17 @@
     }
   }
 
-  /** Whether any attempt is in progress. */
+  /** Returns whether any attempt is in progress. */
   boolean isRunning() {
     return !inProgress.isEmpty();
   }
 
-  /** Number of attempts begun so far. */
+  /** Returns the number of attempts sent so far. */
   int begun() {
     return begun;
   }
 
-  /** The request is over: cancels its attempts and hedges. */
+  /** Cancels all attempts and hedge timers, when the request is over. */
   void cancel() {
     isOver = true;
     // A pending timer would keep the request's body in memory.
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardGate.java
@@ -7,12 +7,16 @@
 import org.passhaven.core.forward.ForwardPlan.Outcome;
 import org.passhaven.spi.BackEndService.Call;
 
-/** Whether one request may run, by what it has done to servers; and what its own runs tell. */
+/**
+ * Decides whether one request may be sent, given the servers that crashed while they ran it, and
+ * records the results of its runs. A request that crashed servers is held back, then retried in
+ * single trials.
+ */
 final class ForwardGate {
   private final CrashLog crashes;
   private final Call call;
 
-  /** Made when it is first needed: on the ordinary path it never is. */
+  /** Computed on first use only, since most requests never need it. */
   private String fingerprint;
 
   private boolean isInTrial;
@@ -33,10 +37,10 @@
   }
 
   /**
-   * Whether a server may begin the request now.
+   * Returns whether the request may be sent to a server now.
    *
-   * @param isRunning whether one runs it already
-   * @param whenClaimed run later if a trial is claimed first: see {@link #isClaiming}
+   * @param isRunning whether a server runs it already
+   * @param whenClaimed runs once a trial is claimed or denied; see {@link #isClaiming}
    */
   boolean mayRun(boolean isRunning, Runnable whenClaimed) {
     if (crashes.isQuiet() || isInTrial) {
@@ -68,27 +72,27 @@
     whenClaimed.run();
   }
 
-  /** Whether it is not known yet who has the trial that is due. */
+  /** Returns whether a claim of the due trial is pending. */
   boolean isClaiming() {
     return isClaiming;
   }
 
-  /** Whether this node has the trial, and no server has run the request in it so far. */
+  /** Returns whether this node holds the trial and no server has run the request in it yet. */
   boolean isInTrial() {
     return isInTrial;
   }
 
-  /** Whether the request was held back when this was last asked. */
+  /** Returns whether the last verdict held the request back. */
   boolean isHeld() {
     return isHeld;
   }
 
-  /** When the next trial is due, for a request that is held back. */
+  /** Returns when the next trial of a held-back request is due, in monotonic milliseconds. */
   long heldUntilMillis() {
     return heldUntilMillis;
   }
 
-  /** A server has answered. */
+  /** Records the outcome of an attempt that a server answered. */
   void onAnswered(Outcome outcome) {
     boolean isSound = outcome == Outcome.SUCCESS || outcome == Outcome.FINAL;
     if (isSound && !crashes.isQuiet()) {
@@ -98,15 +102,15 @@
   }
 
   /**
-   * A run broke off. Gives a result when it is known whether the server has ended, or can't be
-   * known soon: where the next run goes, and whether there is one, depends on it.
+   * Records an attempt that ended without an answer. Completes when it is known whether the server
+   * crashed, or the check timed out; the next attempt must wait for that.
    */
   Uni<Void> onBroken(ServerEntry server) {
     isInTrial = false;
     return crashes.onBroken(fingerprint(), server);
   }
 
-  /** The request is over. */
+  /** Returns an unused trial when the request is over. */
   void close(boolean isRunning) {
     if (isInTrial && !isRunning) {
       crashes.giveTrialBack(fingerprint());
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardLog.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** Logs failed attempts of one request, and why it was given up. */
+/** Logs the failed attempts of one request and the reason for its final failure. */
 final class ForwardLog {
   private static final Logger LOG = LoggerFactory.getLogger(RequestForwarder.class);
   private final GatewayContext context;
@@ -35,15 +35,15 @@
     this.beganAtMillis = beganAtMillis;
   }
 
-  /** A server has not answered within the hedge delay, and another one is asked. */
+  /** Logs that a server has not answered within the hedge delay. */
   void onSilent(ServerEntry server) {
     LOG.atDebug()
         .addKeyValue("request", call.id())
         .addKeyValue("server", server.start())
-        .log("request: silent server, another one is asked");
+        .log("request: no answer within the hedge delay, sending to another server");
   }
 
-  /** An attempt has failed. */
+  /** Logs and counts a failed attempt. */
   void onAttemptFailed(ServerEntry server, Outcome outcome, String reason) {
     context.metrics().attemptsFailed.increment();
     lastReason = reason;
@@ -59,13 +59,13 @@
         .log("request: attempt failed");
   }
 
-  /** Path without its query, by which repeats of one request are recognised in the log. */
+  /** Returns the path without its query, which identifies repeats of a request in the log. */
   private String path() {
     int query = call.uri().indexOf('?');
     return query < 0 ? call.uri() : call.uri().substring(0, query);
   }
 
-  /** The request is given up. */
+  /** Logs that no further attempt is made. */
   void onGivenUp(ForwardOutcome outcome, int attempts, String reason) {
     LOG.atInfo()
         .addKeyValue("request", call.id())
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardOutcome.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardOutcome.java
@@ -2,15 +2,15 @@
 
 import org.passhaven.spi.BackEndService;
 
-/** What became of a request that was brought to servers. */
+/** The final outcome of a forwarded request. */
 public sealed interface ForwardOutcome {
-  /** Answers of 500 and the like on the way. */
+  /** Returns the number of attempts that servers answered with status 500 or above. */
   int serverErrors();
 
-  /** A server's whole answer. */
+  /** A server answered, and its complete answer is returned to the caller. */
   record Answered(BackEndService.Answer answer, int serverErrors) implements ForwardOutcome {}
 
-  /** No server ran it, and none will. */
+  /** No server ran the request, and none will. */
   record NotRun(String reason, long retryAfterMillis) implements ForwardOutcome {
     @Override
     public int serverErrors() {
@@ -18,6 +18,6 @@
     }
   }
 
-  /** A server may have run it. */
+  /** A server may have run the request. */
   record Unknown(String reason, boolean timedOut, int serverErrors) implements ForwardOutcome {}
 }
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -10,31 +10,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One gateway node without its sockets. All calls on one thread. */
+/**
+ * A gateway node: wires membership, configuration, request forwarding, batch jobs and duties
+ * together, without the HTTP servers. Not thread-safe: all calls are made on the node's event loop.
+ */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final int NEAR_NODES_ENOUGH = 2;
   private static final int MOST_ADDRESSES = 64;
 
-  /**
-   * Servers' entries change several times a second at a large site; who sends no items to them
-   * reads a few changes at once. Far below the time in which a leaving server's news must be known.
-   */
+  /** Batches reads of server entries on nodes that run no jobs. */
   private static final long IDLE_SERVERS_PAUSE_MILLIS = 400;
 
-  /** Pause between reads of beats where runs depend on seeing a loss soon. */
+  /** Pause between reads of heartbeats on nodes that run jobs and must detect failures quickly. */
   private static final long RUNNER_BEATS_PAUSE_MILLIS = 250;
 
-  /** The same where callers ask for addresses: they keep the answers for seconds. */
+  /** Pause between reads of heartbeats on nodes that callers recently asked for addresses. */
   private static final long ASKED_BEATS_PAUSE_MILLIS = 500;
 
-  /** The same where nothing depends on it. */
+  /** Pause between reads of heartbeats on all other nodes. */
   private static final long IDLE_BEATS_PAUSE_MILLIS = 1_000;
 
-  /** Who asked for addresses this lately is likely to ask again. */
+  /** Time after a request for addresses in which another one is expected. */
   private static final long ASKED_MILLIS = 5_000;
 
-  /** Jobs can be read although beats can't: then they are followed without knowing the others. */
+  /** Delay after which jobs are followed even if the heartbeats of other nodes are unreadable. */
   private static final long FOLLOW_ANYWAY_MILLIS = 1_500;
 
   private final GatewayContext context;
@@ -50,7 +50,7 @@
   private long askedAtMillis = Long.MIN_VALUE / 2;
   private boolean stopping;
 
-  /** Creates a node; {@link #start} begins its work. */
+  /** Creates a node; {@link #start} starts its work. */
   public Gateway(GatewayContext given) {
     this.context = Objects.requireNonNull(given, "context").watched();
     this.log = new JobLog(context);
@@ -75,7 +75,7 @@
     meter.ifPresent(counting -> new UsageReporter(context, duties, counting));
   }
 
-  /** Begins to work. */
+  /** Starts following the log and the tables, and running jobs and duties. */
   public void start() {
     LOG.atInfo()
         .addKeyValue("node", context.settings().node())
@@ -96,14 +96,14 @@
     meter.ifPresent(UsageMeter::start);
   }
 
-  /** After a suspension news comes as soon as the store is reached, not when old reads end. */
+  /** Restarts reads after a suspension, since pending ones may never complete. */
   private void renewReads() {
     directory.renew();
     crashes.renew();
     duties.renew();
   }
 
-  /** Whether runs, orders or callers would wait for this node if it were lost unseen. */
+  /** Returns whether a failure of this node must be detected quickly. */
   private boolean isDependedOn() {
     return log.isRunner()
         || duties.isHolder()
@@ -120,52 +120,53 @@
     return isAsked ? ASKED_BEATS_PAUSE_MILLIS : IDLE_BEATS_PAUSE_MILLIS;
   }
 
-  /** Whether this node takes new work. */
+  /** Returns whether this node accepts new work. */
   public boolean isReady() {
     return !stopping && directory.isConfigured();
   }
 
-  /** Whether this node is being stopped. */
+  /** Returns whether a planned stop has begun. */
   public boolean isStopping() {
     return stopping;
   }
 
-  /** Routes in force. */
+  /** Returns the routes in force. */
   public RouteTable routes() {
     return directory.routes();
   }
 
   /**
-   * To be asked before a final answer that a newer configuration could forbid. Gives true if every
-   * configuration that has to be in force is, false if the store can't tell soon.
+   * Confirms that the configuration is current, before a final answer that depends on it. Emits
+   * true once every configuration that must be in force is in force, false if the store does not
+   * answer in time.
    */
   public Uni<Boolean> confirmConfiguration() {
     return directory.confirmConfiguration();
   }
 
-  /** How long ago the store last told of the configuration; empty if it never did. */
+  /** Returns the time since the store last confirmed the configuration; empty if it never did. */
   public OptionalLong configurationAgeMillis() {
     return directory.configurationAgeMillis();
   }
 
-  /** What this node measures. */
+  /** Returns the metrics of this node. */
   public GatewayMetrics metrics() {
     return context.metrics();
   }
 
-  /** Ordinary requests. */
+  /** Returns the forwarder of requests to model servers. */
   public RequestForwarder forwarder() {
     return forwarder;
   }
 
-  /** Batch jobs. */
+  /** Returns the service for batch jobs. */
   public JobService jobs() {
     return jobs;
   }
 
   /**
-   * Addresses that a caller in {@code zone} is to use; none if another node is to be asked. Callers
-   * cache the answer for seconds, so a node returns no address before it knows which nodes live.
+   * Returns the addresses that a caller in {@code zone} should use; empty if it should ask another
+   * node. Callers cache the answer, so a node returns none before it knows which nodes are alive.
    */
   public List<String> addressesFor(String zone) {
     askedAtMillis = context.now();
@@ -192,8 +193,8 @@
   }
 
   /**
-   * Planned stop: tells everybody and takes no further runs; requests, and jobs that nobody has
-   * taken over yet, go on.
+   * Begins a planned stop: announces it to the other nodes and takes no new runs. Requests in
+   * flight continue, and so do jobs until another node takes them over.
    */
   public Uni<Void> leave() {
     if (stopping) {
@@ -207,16 +208,16 @@
     stopping = true;
     duties.stop();
     forwarder.admission().stop();
-    // The texts go first: the beat makes other nodes take over.
+    // Generated texts must be in the log before the heartbeat makes other nodes take over.
     return runner.leave().invoke(members::announceLeaving);
   }
 
-  /** Whether nothing is left that a planned stop should wait for. */
+  /** Returns whether all jobs have ended or were taken over, so that the process may stop. */
   public boolean hasHandedOver() {
     return runner.running() == 0;
   }
 
-  /** End of a planned stop: runs nothing more; gives a result when the process may end. */
+  /** Ends a planned stop: stops all work and completes when the process may exit. */
   public Uni<Void> end() {
     forwarder.admission().end();
     Uni<Void> counted = meter.map(UsageMeter::tell).orElse(Uni.createFrom().voidItem());
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
@@ -10,10 +10,10 @@
 import org.passhaven.spi.Timers;
 
 /**
- * What every part of a gateway node is given.
+ * The settings, clocks and external services that all components of a gateway node share.
  *
- * @param incarnation this start of the node; higher than that of any earlier start
- * @param randomBelow random number from zero to below the argument
+ * @param incarnation number of this start of the node, higher than that of all earlier ones
+ * @param randomBelow returns a random number from zero (inclusive) to the argument (exclusive)
  */
 public record GatewayContext(
     GatewaySettings settings,
@@ -38,7 +38,7 @@
     Objects.requireNonNull(metrics, "metrics");
   }
 
-  /** The same with clocks that are watched for gaps. */
+  /** Returns a copy whose timers detect clock jumps, as after a suspension of the process. */
   GatewayContext watched() {
     return new GatewayContext(
         settings,
@@ -53,7 +53,7 @@
         metrics);
   }
 
-  /** Monotonic milliseconds. */
+  /** Returns the monotonic time in milliseconds. */
   public long now() {
     return timers.nowMillis();
   }
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -34,79 +34,79 @@
   /** Requests answered by a server. */
   public final Counter requestsAnswered;
 
-  /** Requests refused as not run. */
+  /** Requests refused without being run by a server. */
   public final Counter requestsRefused;
 
   /** Requests whose outcome is unknown. */
   public final Counter requestsUnknown;
 
-  /** Attempts at servers that came to nothing. */
+  /** Attempts at servers that failed. */
   public final Counter attemptsFailed;
 
-  /** Attempts for which all servers were candidates, since none of this node's subset was good. */
+  /** Attempts that considered all servers, since none of this node's subset was usable. */
   public final Counter subsetsWidened;
 
-  /** Generations begun or continued. */
+  /** Generations started or continued. */
   public final Counter generationsBegun;
 
   /** Generations that failed at a server. */
   public final Counter generationsFailed;
 
-  /** Generations that a server refused since it was full or loading weights. */
+  /** Generations that a server refused because it was full or loading weights. */
   public final Counter generationsRefused;
 
   /** Generations that this node stopped. */
   public final Counter generationsStopped;
 
-  /** Generations moved from a server that is slow. */
+  /** Generations moved away from slow servers. */
   public final Counter movesFromSlowServers;
 
-  /** Generations moved since they had stalled. */
+  /** Generations moved because they had stalled. */
   public final Counter movesOfStalled;
 
   /** Results read back from the log. */
   public final Counter resultsListed;
 
-  /** Appends of results that were repeated. */
+  /** Retried appends of results. */
   public final Counter appendsRepeated;
 
-  /** Version orders sent. */
+  /** Orders to load a weight version that were sent to servers. */
   public final Counter ordersSent;
 
-  /** Servers that ended under requests of this node, counted for each such request. */
+  /** Server crashes during requests of this node, counted once for each request. */
   public final Counter serversEndedUnderRequests;
 
-  /** Requests that were not run because servers had ended under them. */
+  /** Requests that were not run because servers had crashed while running them. */
   public final Counter requestsHeldBack;
 
-  /** Times that this node came to hold the lease of the duties, or lost it. */
+  /** Times that this node acquired or lost the duty lease. */
   public final Counter leaseChanges;
 
   /** Losses of the whole fleet that this node detected at its start. */
   public final Counter fleetLosses;
 
-  /** Windows of usage that this node reported. */
+  /** Usage windows that this node reported. */
   public final Counter windowsReported;
 
-  /** Reports of usage that failed or were not answered. */
+  /** Usage reports that failed or were not answered. */
   public final Counter windowReportsFailed;
 
-  /** Documents of the platform's store that can't be read: entries of servers and others. */
+  /** Unreadable documents in the platform's store, such as server entries. */
   public final Counter documentsUnreadable;
 
-  /** Requests not let in that show no key. */
+  /** Requests rejected because they have no API key. */
   public final Counter requestsWithoutKey;
 
-  /** Requests not let in whose key no tenant has. */
+  /** Requests rejected because no tenant has their API key. */
   public final Counter requestsWithUnknownKey;
 
-  /** Requests without a route. */
+  /** Requests rejected because no route matches. */
   public final Counter requestsWithoutRoute;
 
-  /** Requests sent elsewhere, since the configuration that doesn't let them in may be old. */
+  /** Requests redirected because the configuration that rejects them may be stale. */
   public final Counter requestsUnsure;
 
-  /** Requests that waited at this node for a place at a service. */
+  /** Requests that admission control queued. */
   public final Counter requestsWaited;
 
   private final MeterRegistry registry;
@@ -147,12 +147,12 @@
             .register(registry);
   }
 
-  /** Shows how many partitions of jobs this node has not read to their ends since its start. */
+  /** Registers a gauge of the job partitions that this node has not yet read to their ends. */
   public void showPartitionsBehind(JobLog log) {
     registry.gauge("passhaven.gateway.partitions.behind", log, read -> read.behind().size());
   }
 
-  /** Shows the age of the configuration in force; no number while none is known. */
+  /** Registers a gauge of the configuration's age; NaN while no configuration is known. */
   public void showConfigurationAge(Directory directory) {
     registry.gauge(
         "passhaven.gateway.configuration.age.seconds",
@@ -164,9 +164,9 @@
   }
 
   /**
-   * Registers gauges of a service's waiting requests and of its concurrency limit.
+   * Registers gauges of a service's queued requests and of its concurrency limit.
    *
-   * @param state what {@code load} reads; the gauges last as long as it is referenced
+   * @param state the argument of {@code load}; the gauges hold only a weak reference to it
    */
   <T> void showAdmission(String service, T state, Function<T, ServiceAdmission.Load> load) {
     Tags tags = Tags.of("service", service);
@@ -176,13 +176,13 @@
         "passhaven.gateway.admission.limit", tags, state, read -> load.apply(read).limit());
   }
 
-  /** A request was rejected before it was sent. */
+  /** Counts a request that admission control rejected. */
   void onRejected(Reason reason) {
     String tag = reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
     registry.counter("passhaven.gateway.admission.rejected", "reason", tag).increment();
   }
 
-  /** This node stopped a generation. */
+  /** Counts a generation that this node stopped. */
   public void onGenerationStopped(String why) {
     generationsStopped.increment();
     if (why.equals(JobScheduler.SLOW_SERVER)) {
@@ -192,7 +192,7 @@
     }
   }
 
-  /** A generation failed at a server. */
+  /** Counts a generation that failed at a server. */
   public void onGenerationFailed(BackEndException.Kind kind) {
     generationsFailed.increment();
     if (kind == BackEndException.Kind.REFUSED) {
@@ -200,7 +200,7 @@
     }
   }
 
-  /** A request has ended, whatever its outcome. */
+  /** Counts a request that has ended, and records its latency. */
   public void onRequest(ForwardOutcome outcome, long tookMillis) {
     requestLatency.record(tookMillis, TimeUnit.MILLISECONDS);
     if (outcome instanceof ForwardOutcome.Answered) {
--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -8,23 +8,23 @@
 import org.passhaven.core.usage.UsageSettings;
 
 /**
- * Settings of one gateway node, checked and immutable.
+ * Validated, immutable settings of one gateway node.
  *
  * @param node unique name of the machine
  * @param zone zone of the machine
  * @param address host and port at which callers reach it
- * @param jobPartitions partitions over which runs are spread
- * @param beat time between two beats
- * @param silence time without a beat after which a node is dead
- * @param tick time between two rounds of decisions
- * @param lease who may order weights
- * @param loads how many servers of a service load weights at a time
- * @param inForce time within which news of the operator and of servers must be acted on
- * @param keepJobs time for which ended jobs stay readable
- * @param mostRecordBytes largest record of the log
- * @param mostAppendBytes largest append to the log
- * @param usage when usage is reported; empty where it is not
- * @param cores processor of the machine, in cores; zero if it is not known
+ * @param jobPartitions number of log partitions over which runs are distributed
+ * @param beat interval between heartbeats while other parties depend on this node
+ * @param silence time without a heartbeat after which a node is considered dead
+ * @param tick interval between rounds of scheduling decisions
+ * @param lease timing of the duty lease
+ * @param loads limit on the servers of a service that load weights at the same time
+ * @param inForce time within which changes of the configuration and of servers must take effect
+ * @param keepJobs retention time of ended jobs
+ * @param mostRecordBytes maximum size of a log record
+ * @param mostAppendBytes maximum size of an append to the log
+ * @param usage schedule of usage reports; empty if usage is not reported
+ * @param cores number of processor cores of the machine; zero if unknown
  */
 public record GatewaySettings(
     String node,
--- a/node/src/main/java/org/passhaven/node/gateway/MemberAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MemberAgent.java
@@ -18,12 +18,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends this node's beats to the log and reads those of all nodes. */
+/**
+ * Appends this node's heartbeats to the log and reads those of all nodes, to detect which nodes are
+ * alive. Not thread-safe: used on the node's event loop.
+ */
 public final class MemberAgent {
   private static final Logger LOG = LoggerFactory.getLogger(MemberAgent.class);
   private static final String STREAM = "members.0";
 
-  /** A node that has just started beats often: nobody knows yet what will depend on it. */
+  /** Time after the start in which a node sends heartbeats at the short period. */
   private static final long FRESH_MILLIS = 5_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -45,7 +48,7 @@
   private long ownBeatReadAt = NEVER;
   private long ownBeatsRead;
 
-  /** Offset of the first beat that was sent since the newest gap of the clocks and is written. */
+  /** Offset of the first heartbeat that was sent after the last clock jump and written. */
   private long ownBeatsCountFrom;
 
   private long clockGapsSeen;
@@ -59,11 +62,11 @@
   private Consumer<MemberBeat> onOthersBeat = beat -> {};
 
   /**
-   * Creates the agent.
+   * Creates an agent; {@link #start} begins its work.
    *
-   * @param requestsPerSecond requests that this node lately forwarded
-   * @param isDependedOn whether its loss must show soon: it runs jobs, orders weights or serves
-   * @param betweenReadsMillis pause between reads of the beats of all nodes
+   * @param requestsPerSecond rate of the requests that this node received recently
+   * @param isDependedOn whether a failure of this node must be detected quickly
+   * @param betweenReadsMillis pause between reads of heartbeats, in milliseconds
    */
   public MemberAgent(
       GatewayContext context,
@@ -79,10 +82,11 @@
   }
 
   /**
-   * Begins to beat.
+   * Starts sending heartbeats.
    *
-   * @param onFollowing called once when the other nodes' beats are known
-   * @param onFleetLost called once if nearly all of those then turn out to be gone
+   * @param onFollowing called when the heartbeats of the other nodes were read, or after a failed
+   *     heartbeat, since a node that can't write may still read; may be called more than once
+   * @param onFleetLost called once if nearly all of the earlier nodes turn out to be dead
    */
   public void start(Runnable onFollowing, Runnable onFleetLost) {
     whenFollowing = Objects.requireNonNull(onFollowing, "onFollowing");
@@ -91,23 +95,23 @@
     beat();
   }
 
-  /** Runs a task when this node may have been suspended: what it waits for may never come. */
+  /** Sets the task that runs after a clock jump, when pending reads may never complete. */
   void whenClocksParted(Runnable task) {
     whenClocksParted = Objects.requireNonNull(task, "task");
   }
 
   /**
-   * Connects the reports of server use, which nodes that run jobs send each other in their beats.
+   * Sets the source and the consumer of server use reports, which heartbeats carry.
    *
-   * @param own this node's report, called for each of its beats
-   * @param others called with each new beat of another node
+   * @param own returns this node's report; called for each of its heartbeats
+   * @param others receives each new heartbeat of another node
    */
   void shareServerUse(Supplier<List<ServerUse>> own, Consumer<MemberBeat> others) {
     serverUse = Objects.requireNonNull(own, "own");
     onOthersBeat = Objects.requireNonNull(others, "others");
   }
 
-  /** Something has come to depend on this node: its beats come more often from now on. */
+  /** Shortens the heartbeat period and ends the read pause when others start to depend on it. */
   void hurry() {
     if (periodMillis() < beatPeriodMillis) {
       beat();
@@ -115,19 +119,19 @@
     tail.hurry();
   }
 
-  /** What is known of all nodes. */
+  /** Returns the heartbeats of all nodes. */
   public BeatTable beats() {
     return beats;
   }
 
-  /** Whether this node has lately written to the log and read it back. */
+  /** Returns whether a recent heartbeat of this node was written and read back. */
   public boolean isInTouch() {
     return now() - ownBeatReadAt < beats.silenceMillis(beatPeriodMillis);
   }
 
   /**
-   * After a suspension a node knows what has become of the others only when a beat that it sent
-   * since then was read back.
+   * Returns the current time. After a clock jump it first discards the earlier heartbeats: liveness
+   * is known again only when a heartbeat sent after the jump was read back.
    */
   private long now() {
     long now = context.now();
@@ -143,7 +147,7 @@
     return now;
   }
 
-  /** Whether this node has followed the beats long enough to know who else is alive. */
+  /** Returns whether heartbeats were read for long enough to know which nodes are alive. */
   public boolean isSettled() {
     if (isFleetLost) {
       return isInTouch();
@@ -152,9 +156,9 @@
   }
 
   /**
-   * Whether the nodes that beat before this node's start may all be gone. Ends when this node's
-   * second beat is read back, since the beats of live nodes are read by then, or after the time
-   * that this takes while the log works.
+   * Returns whether all nodes that were alive before this node's start may be dead. The state ends
+   * when this node's second heartbeat is read back, since all live nodes have sent one by then, or
+   * after a timeout.
    */
   boolean isLivenessUnknown() {
     return tailing
@@ -164,18 +168,16 @@
         && beats.isLossDetectable();
   }
 
-  /** Tells everybody that this node takes no new work. */
+  /** Announces in a heartbeat that this node accepts no new work. */
   public void announceLeaving() {
     taking = false;
     append();
   }
 
-  /**
-   * A beat that is still under way tells as much as a second one; a slow log gets no more of them.
-   */
+  /** Sends a heartbeat if one is due and none is in flight, so as not to overload a slow log. */
   private void beat() {
     long period = periodMillis();
-    // A shorter period announced by the newest beat is kept, since others rely on it.
+    // The other nodes rely on the period announced by the last heartbeat if it is shorter.
     boolean isDue =
         now() - beatAt >= Math.min(period, beatPeriodMillis) || period < beatPeriodMillis;
     if (!beating && (isDue || !tailing)) {
@@ -214,7 +216,7 @@
         .with(this::onAppended, this::onBeatFailed);
   }
 
-  /** Counted from the log's answer to the first beat, which may have taken long. */
+  /** Returns this node's time in the log, measured from the write of its first heartbeat. */
   private long inLogMillis() {
     return MemberBeat.FIRST_IN_LOG_MILLIS + (tailing ? context.now() - startedAt : 0);
   }
@@ -223,15 +225,15 @@
     beating = false;
     noteWritten(offset);
     if (tailing && context.now() - startedAt < SETTLE_MILLIS) {
-      // Its own beat, read back, tells a node that starts whether the others are still there.
+      // A starting node needs its own heartbeat back to know whether the others are alive.
       tail.hurry();
     }
     if (!tailing) {
       tailing = true;
       startedAt = context.now();
-      // The period counts from now: when the next beat is read back, each live node's beat is too.
+      // Starts the period now: by the next heartbeat each live node has sent one as well.
       context.timers().every(context.settings().beat().toMillis(), this::beat);
-      // Beats of the last moments tell at once who else is there.
+      // Reads recent heartbeats first, to find the other nodes at once.
       tail.start(Math.max(0, offset - HISTORY_RECORDS));
     }
   }
@@ -248,9 +250,11 @@
 
   private void onBeatFailed(Throwable failure) {
     beating = false;
-    LOG.debug("members: a beat failed: {}", PlatformException.from(failure).getMessage());
+    LOG.debug(
+        "members: a heartbeat could not be written: {}",
+        PlatformException.from(failure).getMessage());
     if (!tailing) {
-      // A node that may not write can still read, though it does not know the others.
+      // A node that can't write can still read the log, without knowing the other nodes.
       whenFollowing.run();
       context.timers().after(FIRST_BEAT_PAUSE_MILLIS, this::beat);
     }
@@ -281,7 +285,7 @@
     }
   }
 
-  /** Of a fleet that was lost the log still tells: who is gone must hold up nobody. */
+  /** Forgets a lost fleet, so that its old heartbeats in the log delay no takeover. */
   private void noteFleetLost() {
     if (isFleetLost || !tail.isCaughtUp() || !isFresh()) {
       return;
@@ -299,7 +303,7 @@
     }
   }
 
-  /** Whether this node started so lately that it has much to learn. */
+  /** Returns whether this node has just started. */
   boolean isFresh() {
     return context.now() - beganAt < FRESH_MILLIS;
   }
@@ -315,7 +319,7 @@
     }
   }
 
-  /** Changes are told once a read: at many nodes each read brings many beats. */
+  /** Processes heartbeats; membership changes are logged once per batch. */
   private final class BeatReader implements LogTail.Listener {
     @Override
     public void onCaughtUp() {
--- a/node/src/main/java/org/passhaven/node/gateway/OrderAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/OrderAgent.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The duty to bring servers to the newest named weight versions. A server's report is read before
- * each order, and the order names the sequence that the report gave, so an order that is carried
- * out late comes to nothing once another was taken.
+ * The duty that orders servers to load the newest named weight versions. Each order carries the
+ * sequence number of a server report read just before, so that the server ignores a delayed order
+ * once it has accepted another.
  */
 final class OrderAgent implements Duty {
   private static final Logger LOG = LoggerFactory.getLogger(OrderAgent.class);
@@ -34,7 +34,7 @@
   private final DutyAgent duties;
   private final VersionOrderPlanner planner;
 
-  /** Creates the duty and hands it to the agent. */
+  /** Creates the duty and adds it to the agent. */
   OrderAgent(GatewayContext context, Directory directory, JobLog jobs, DutyAgent duties) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
@@ -70,7 +70,7 @@
     planner.begin(servers(), demand(), nowMillis).forEach(this::look);
   }
 
-  /** An entry of a service that no route names may be by another writer: it gets no orders. */
+  /** Returns the servers of routed services; others may not belong to this platform. */
   private List<ServerEntry> servers() {
     return directory.servers().all().stream()
         .filter(server -> directory.routes().names(server.service()))
@@ -81,7 +81,7 @@
     return new WeightDemand(directory.newestVersions(), jobs.openItemsByModel());
   }
 
-  /** Asks a server what it serves, then orders it on. */
+  /** Reads a server's report, then orders the version if the server needs it. */
   private void look(Wanted wanted) {
     context
         .backEnds()
@@ -92,24 +92,24 @@
 
   private void onReport(Wanted wanted, Report report) {
     if (isOfOtherStart(wanted, report)) {
-      fail(wanted, "another start of the server answered");
+      fail(wanted, "the server has restarted");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
       done(wanted);
     } else if (report.busy()) {
-      fail(wanted, "another order is under way");
+      fail(wanted, "another order is in progress");
     } else {
       order(wanted, report.sequence());
     }
   }
 
-  /** What another start says of its weights and orders is not true of the one that is wanted. */
+  /** Returns whether the report is of another incarnation of the server. */
   private static boolean isOfOtherStart(Wanted wanted, Report report) {
     return report.bornMillis() != wanted.server().start().bornMillis();
   }
 
   private void order(Wanted wanted, long sequence) {
     if (!duties.mayAct()) {
-      fail(wanted, "the lease is not valid now");
+      fail(wanted, "the duty lease is not valid");
       return;
     }
     Order order =
@@ -150,7 +150,7 @@
     }
   }
 
-  /** Looks whether a load has ended. */
+  /** Polls the server until it has loaded the version or the time limit has passed. */
   private void watch(Wanted wanted, long untilMillis) {
     ServerEntry entry = directory.servers().get(wanted.server().start());
     if (entry != null && entry.versionOf(wanted.model()) >= wanted.version()) {
@@ -158,7 +158,7 @@
       return;
     }
     if (entry == null || context.now() >= untilMillis) {
-      fail(wanted, "the load did not end");
+      fail(wanted, "the load did not end in time");
       return;
     }
     context
@@ -172,7 +172,7 @@
 
   private void onWatched(Wanted wanted, Report report, long untilMillis) {
     if (isOfOtherStart(wanted, report)) {
-      fail(wanted, "the server started anew while it loaded");
+      fail(wanted, "the server restarted during the load");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
       done(wanted);
     } else {
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
@@ -4,34 +4,42 @@
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.route.RouteTable;
 
-/** Reads the documents that others keep in the platform's store. */
+/** Parses documents in the platform's store and names the tables that hold them. */
 public interface PlatformDocuments {
-  /** Table of the operator's documents. */
+  /** Returns the name of the table of the operator's documents. */
   String operatorTable();
 
-  /** Table of the servers' entries. */
+  /** Returns the name of the table of server entries. */
   String serverTable();
 
-  /** Table of the nodes' own notes on requests under which servers have ended. */
+  /** Returns the name of the table where nodes record requests that crashed servers. */
   String crashTable();
 
-  /** Whether a document of the operator's table is the configuration. */
+  /** Returns whether a document of the operator's table is the configuration. */
   boolean isConfiguration(String key);
 
-  /** Reads a configuration; fails with {@link DocumentException}. */
+  /**
+   * Parses a configuration.
+   *
+   * @throws DocumentException if the document is invalid
+   */
   RouteTable configuration(byte[] document);
 
-  /** Weight version by model that a document of the operator's table names; empty if none. */
+  /** Returns the weight versions by model that an operator's document names; may be empty. */
   Map<String, Long> namedVersion(String key, byte[] document);
 
-  /** Reads a server's entry; fails with {@link DocumentException}. */
+  /**
+   * Parses a server entry.
+   *
+   * @throws DocumentException if the document is invalid
+   */
   ServerEntry server(String key, byte[] document);
 
-  /** A document can't be read. */
+  /** Thrown when a document can't be parsed. */
   final class DocumentException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the error. */
+    /** Creates the exception. */
     public DocumentException(String message, Throwable cause) {
       super(message, cause);
     }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -15,7 +15,10 @@
 import org.passhaven.core.route.Route;
 import org.passhaven.spi.BackEndService.Call;
 
-/** Carries out the decisions of the {@link ServiceAdmission} of each service at this node. */
+/**
+ * Queues, sends and rejects requests as the {@link ServiceAdmission} of their service decides. Not
+ * thread-safe: used on the node's event loop.
+ */
 final class RequestAdmission {
   private final GatewayContext context;
   private final Directory directory;
@@ -26,9 +29,9 @@
   private boolean stopping;
 
   /**
-   * Creates the admission.
+   * Creates the admission control.
    *
-   * @param candidates servers of a service that this node may send to now
+   * @param candidates returns the servers of a service that this node may send to now
    */
   RequestAdmission(
       GatewayContext context, Directory directory, Function<String, List<ServerEntry>> candidates) {
@@ -39,18 +42,18 @@
   }
 
   /**
-   * Is told whether a request has its place. One method is called, once, unless the place is
+   * Receives the decision on a request. Exactly one method is called, once, unless the slot is
    * released before.
    */
   interface PlaceListener {
-    /** The request may be sent. */
+    /** Called when the request may be sent. */
     void onSend();
 
-    /** The request can't be served in time; it must not be sent. */
+    /** Called when the request must not be sent, since it can't be served in time. */
     void onReject(Reject verdict);
   }
 
-  /** Creates the place of a request, for which {@link Place#ask} then asks. */
+  /** Creates the slot of a request, which {@link Place#ask} then requests. */
   Place place(Route route, Call call, String service, Source source, long deadlineMillis) {
     int priority = directory.routes().tenants().priorityOf(call.tenant()).orElse(route.priority());
     AdmissionRequest request =
@@ -63,23 +66,23 @@
     known().forEach(Service::onServers);
   }
 
-  /** A copy, since a listener may ask for a service that is not known yet. */
+  /** Returns a copy, since a listener may add a service during the iteration. */
   private List<Service> known() {
     return List.copyOf(services.values());
   }
 
-  /** This node begins to stop: waiting requests are sent or rejected soon. */
+  /** Begins a planned stop: queued requests are sent or rejected soon. */
   void stop() {
     stopping = true;
     services.values().forEach(service -> service.admission.stop(context.now()));
   }
 
-  /** This node ends: requests that still wait are rejected. */
+  /** Rejects all queued requests, at the end of a planned stop. */
   void end() {
     known().forEach(service -> service.apply(service.admission.end(context.now())));
   }
 
-  /** One request's place at a service; to be released when the request is over. */
+  /** The slot of one request at a service; must be released when the request is over. */
   final class Place {
     private final Service service;
     private final AdmissionRequest request;
@@ -93,7 +96,7 @@
       this.id = id;
     }
 
-    /** Asks whether the request may be sent, now or soon. */
+    /** Requests the slot; the decision may come later. */
     void ask(PlaceListener placeListener) {
       listener = placeListener;
       service.places.put(request.id(), this);
@@ -126,24 +129,24 @@
       }
     }
 
-    /** A server has answered the request with success. */
+    /** Records a successful answer and its latency. */
     void onAnswer(long tookMillis) {
       service.admission.onAnswer(request, tookMillis, context.now());
     }
 
-    /** A server refused the request since it is full. */
+    /** Records that a server refused the request because it is full. */
     void onFull() {
       service.admission.onFull(context.now());
     }
 
-    /** Time after which the caller may retry if the request was not run. */
+    /** Returns the time after which the caller may retry a request that was not run. */
     long retryAfterMillis() {
       return rejected != null
           ? rejected.retryAfterMillis()
           : service.admission.retryAfterMillis(request, context.now());
     }
 
-    /** The request is over, or its caller has left. */
+    /** Releases the slot when the request is over or its caller has disconnected. */
     void release() {
       if (service.places.remove(request.id()) != null) {
         service.admission.onEnded(request);
@@ -152,7 +155,7 @@
     }
   }
 
-  /** The admission to one service, and the places of requests that wait or were sent. */
+  /** The admission control of one service, and the slots of its queued and sent requests. */
   private final class Service {
     private final String name;
     private final ServiceAdmission admission =
@@ -179,8 +182,8 @@
     }
 
     /**
-     * Applies the admission's decisions. A request that is sent may end at once and cause further
-     * ones; these are applied by the loop that runs already.
+     * Applies the pending decisions. A request may end while it is being sent and call this method
+     * again; the running loop then applies the new decisions.
      */
     void dispatch() {
       isDispatchDue = true;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -22,18 +22,21 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.Timers;
 
-/** Brings requests to servers as their {@link ForwardPlan} decides. */
+/**
+ * Forwards requests to servers, with the retries and hedged attempts that their {@link ForwardPlan}
+ * decides. Not thread-safe: used on the node's event loop.
+ */
 public final class RequestForwarder {
-  /** Pause between an attempt that was not run and the next one. */
+  /** Backoff after an attempt that no server ran. */
   private static final long RETRY_PAUSE_MILLIS = 10;
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int MISDIRECTED = 421;
 
-  /** Time for which a server is avoided that refused a request as misdirected. */
+  /** Time for which a server that answered 421 (Misdirected Request) is avoided. */
   private static final long MISDIRECTED_AVOIDED_MILLIS = 1_000;
 
-  /** Time for which a full server is avoided. */
+  /** Time for which a server at its capacity is avoided. */
   private static final long FULL_AVOIDED_MILLIS = 50;
 
   private static final String HELD_BACK = "servers have ended under it";
@@ -48,16 +51,16 @@
   private final RunListener runs;
   private int inProgress;
 
-  /** Hears of requests that servers began to run. */
+  /** Receives the requests that servers began to run. */
   interface RunListener {
-    /** A request of a tenant, sent at a moment of the steady clock, has begun to run. */
+    /** Called once for each request; the time of sending is in monotonic milliseconds. */
     void onBegan(String tenant, long sentAtMillis);
   }
 
   /**
    * Creates a forwarder to the servers of the directory.
    *
-   * @param liveNodes live nodes, by which subsets of servers are formed
+   * @param liveNodes returns the live nodes, among which the servers are divided into subsets
    */
   RequestForwarder(
       GatewayContext context,
@@ -81,25 +84,25 @@
                     .collect(Collectors.toSet())));
   }
 
-  /** Rate of the requests received lately, per second. */
+  /** Returns the recent rate of requests per second. */
   public double requestsPerSecond() {
     return rate.perSecond(context.now());
   }
 
-  /** Requests that are being forwarded. */
+  /** Returns the number of requests in flight. */
   public int inProgress() {
     return inProgress;
   }
 
   /**
-   * Forwards a caller's request; its deadline is the time that is left for it. Cancelling closes
-   * the connections to servers.
+   * Forwards a caller's request, whose deadline is relative to now. Cancelling the result cancels
+   * all attempts.
    */
   public Uni<ForwardOutcome> forward(Route route, Call call) {
     return forward(route, call, Source.CALLER);
   }
 
-  /** Forwards a request of a given source. */
+  /** Forwards a request from the given source. */
   Uni<ForwardOutcome> forward(Route route, Call call, Source source) {
     return Uni.createFrom()
         .emitter(
@@ -110,7 +113,7 @@
             });
   }
 
-  /** Decides whether requests are sent, wait or are rejected. */
+  /** Returns the admission control of forwarded requests. */
   RequestAdmission admission() {
     return admission;
   }
@@ -160,7 +163,7 @@
       giveUp(verdict.reason().text());
     }
 
-    /** Sends the request to the next server; false if nothing is under way. */
+    /** Sends the request to the next server; returns false if no attempt is in progress. */
     private boolean tryNext() {
       if (done || gate.isClaiming()) {
         return true;
@@ -248,8 +251,8 @@
     }
 
     /**
-     * A server ran the request, and there was no room for the answer. It is not retried: the next
-     * answer would find no room either.
+     * Fails a request whose answer did not fit into this node's buffers. It is not retried, since
+     * the next answer would not fit either.
      */
     private void onAnswerDropped(ServerEntry server, PlatformException failure, long sentAt) {
       log.onAttemptFailed(server, Outcome.UNKNOWN, failure.getMessage());
@@ -261,7 +264,7 @@
       }
     }
 
-    /** A request counts once, however many servers ran it. */
+    /** Reports the request as run, once for all attempts. */
     private void noteBegun(long sentAtMillis) {
       if (!hasBegun) {
         hasBegun = true;
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Servers that a request may be sent to: those of this node's {@link ServerSubset}, or all of the
- * service while none of them is good. A subset is recomputed only when nodes or servers have
- * changed.
+ * Selects the servers that a request may be sent to: those of this node's {@link ServerSubset}, or
+ * all servers of the service while none of the subset is usable. A subset is recomputed only when
+ * nodes or servers have changed. Not thread-safe.
  */
 final class ServerCandidates {
   private static final Logger LOG = LoggerFactory.getLogger(ServerCandidates.class);
@@ -33,7 +33,7 @@
   private List<MemberBeat> beatsSeen = List.of();
   private List<Member> nodes = List.of();
 
-  /** A service's subset, the nodes and servers it was computed from, and this node's use of it. */
+  /** The subset of one service, the nodes and servers it was computed from, and its peak use. */
   private static final class Service {
     final PeakUse use = new PeakUse();
     int turn;
@@ -56,12 +56,12 @@
     this.picker = new ServerPicker(health, this::isNear);
   }
 
-  /** Chooses among the servers given by {@link #of}. */
+  /** Returns the picker that chooses among the servers returned by {@link #of}. */
   ServerPicker picker() {
     return picker;
   }
 
-  /** Servers that a request may be sent to now, in this node's order of preference. */
+  /** Returns the servers that a request may be sent to now, in this node's preference order. */
   List<ServerEntry> of(String name, ForwardPlan plan) {
     Service service = services.computeIfAbsent(name, key -> new Service());
     refresh(name, service);
@@ -88,11 +88,11 @@
     service.ready = ready;
     service.nodes = live;
     if (isSameFleet && isSameServers) {
-      // Entries change often, with each new version of weights; subsets do not depend on that.
+      // Entries change with each weight version, but subsets do not depend on versions.
       service.formed = service.formed.withEntries(ready);
       return;
     }
-    // Kept only while servers are the same, so that a new server becomes the first choice of some.
+    // The first choice changes with the servers, so that a new server gets its share of nodes.
     ServerSubset formed = ServerSubset.of(self, live, ready);
     service.formed = isSameServers ? formed.keepingFirstOf(service.formed) : formed;
     LOG.atDebug()
@@ -103,7 +103,7 @@
         .log("subset: formed");
   }
 
-  /** Computed once per list of beats; each beat brings a new list. */
+  /** Returns the live nodes, computed once for each list of heartbeats. */
   private List<Member> liveMembers() {
     List<MemberBeat> beats = liveNodes.get();
     if (beats != beatsSeen) {
@@ -117,7 +117,7 @@
     return service.ready.stream().mapToInt(server -> health.inProgress(server.start())).sum();
   }
 
-  /** All servers of a subset count as near: the subset has been chosen by zone already. */
+  /** Returns whether a server is in this node's zone or in a subset, which is chosen by zone. */
   private boolean isNear(ServerEntry server) {
     Service service = services.get(server.service());
     return server.zone().equals(self.zone())
--- a/node/src/main/java/org/passhaven/node/gateway/ServerTargets.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerTargets.java
@@ -3,7 +3,7 @@
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.spi.BackEndService.Target;
 
-/** Names servers to the interface by which they are called. */
+/** Converts server entries to call targets. */
 final class ServerTargets {
   private ServerTargets() {}
 
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -11,22 +11,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports this node's generations at servers to other nodes that run jobs, in its beats, and takes
- * in their reports. A node reports nothing while all open jobs are its own.
+ * Exchanges with other nodes, in heartbeats, how many generations each node runs at which server. A
+ * node reports nothing while all open jobs are its own.
  */
 final class ServerUseExchange {
   private static final Logger LOG = LoggerFactory.getLogger(ServerUseExchange.class);
 
-  /** Most servers in the report of one beat, which every node reads. */
+  /** Limits the size of a heartbeat, which every node reads. */
   private static final int MAX_SERVERS_PER_BEAT = 32;
 
-  /** Most servers in the reports of all nodes in one period. */
+  /** Limits the servers in the reports of all nodes together within one period. */
   private static final int MAX_SERVERS_OF_ALL = 60;
 
-  /** Shortest time between two log lines about slow servers. */
+  /** Minimum time between two log lines about slow servers. */
   private static final long BETWEEN_LINES_MILLIS = 5_000;
 
-  /** Most servers that one log line names. */
   private static final int MAX_NAMED = 8;
 
   private final GatewayContext context;
@@ -35,7 +34,7 @@
   private Set<ServerStart> slowBefore = Set.of();
   private long nextLineAtMillis;
 
-  /** Creates the exchange, which takes part in the beats from now on. */
+  /** Creates the exchange and registers it with the membership agent. */
   ServerUseExchange(GatewayContext context, JobLog log, ServerView view, MemberAgent members) {
     this.context = Objects.requireNonNull(context, "context");
     this.log = Objects.requireNonNull(log, "log");
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -13,7 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts requests that this node has brought to run, and tells the counts to the log. */
+/**
+ * Counts the requests of each tenant that servers began to run, and publishes the counts in the
+ * log.
+ */
 final class UsageMeter {
   private static final Logger LOG = LoggerFactory.getLogger(UsageMeter.class);
   static final String STREAM = "usage.0";
@@ -30,9 +33,9 @@
   private boolean isTelling;
 
   /**
-   * Creates the meter; {@link #start} begins.
+   * Creates a meter; {@link #start} begins its periodic work.
    *
-   * @param liveNodes number of nodes that are known to be alive
+   * @param liveNodes returns the number of live nodes
    */
   UsageMeter(GatewayContext context, UsageSettings settings, IntSupplier liveNodes) {
     this.liveNodes = Objects.requireNonNull(liveNodes, "liveNodes");
@@ -57,19 +60,19 @@
     trueTime.onSample(context.now(), context.timers().timeOfDayMillis());
   }
 
-  /** The newest window whose counts are to be fixed by now. */
+  /** Returns the newest window whose counts are due to be made final. */
   long newestDue(long nowMillis) {
     return settings.newestDue(trueTime.at(nowMillis));
   }
 
-  /** A request of a tenant, sent at a moment of the steady clock, has begun to run at a server. */
+  /** Counts a request that a server began to run; the time is in monotonic milliseconds. */
   void onBegan(String tenant, long sentAtMillis) {
     if (!tenant.isEmpty()) {
       counter.onBegan(tenant, settings.windowAt(trueTime.at(sentAtMillis)));
     }
   }
 
-  /** Tells what is new; gives a result when it is in the log, or may be. */
+  /** Publishes the new counts in the log; completes when the append has succeeded or failed. */
   Uni<Void> tell() {
     List<UsageRecord> records = isTelling ? List.of() : counter.takeUntold();
     if (records.isEmpty()) {
@@ -94,6 +97,6 @@
     LOG.atDebug()
         .addKeyValue("windows", records.size())
         .addKeyValue("reason", PlatformException.from(failure).getMessage())
-        .log("usage: counts were not told");
+        .log("usage: counts could not be published");
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The duty to report usage by window. The counts of a window are fixed in the log before they are
- * first sent, so every repeat, by this holder or a later one, says the same.
+ * The duty that reports the usage of each time window. The counts of a window are made final in the
+ * log before they are first sent, so that every retry by any lease holder sends the same counts.
  */
 final class UsageReporter implements Duty {
   private static final Logger LOG = LoggerFactory.getLogger(UsageReporter.class);
   private static final long CALL_LIMIT_MILLIS = 700;
 
-  /** The platform takes a bounded number of such calls a second from all nodes together. */
+  /** Backoff after a failed report, since the platform limits the rate of reports. */
   private static final long RETRY_MILLIS = 300;
 
-  /** A record is read back within some 20 ms where the store is sound. */
+  /** Time after which counts are appended again if the record was not read back. */
   private static final long FIX_AGAIN_MILLIS = 1_500;
 
-  /** Counts come in batches; they are fixed seconds after their window. */
+  /** Batches reads of counts, which are needed only seconds after their window. */
   private static final long READ_PAUSE_MILLIS = 500;
 
   private final GatewayContext context;
@@ -43,7 +43,7 @@
   private boolean isRefreshing;
   private boolean isSending;
 
-  /** Creates the duty and hands it to the agent. */
+  /** Creates the duty and adds it to the agent. */
   UsageReporter(GatewayContext context, DutyAgent duties, UsageMeter meter) {
     this.context = Objects.requireNonNull(context, "context");
     this.duties = Objects.requireNonNull(duties, "duties");
@@ -107,7 +107,7 @@
     }
   }
 
-  /** All that is in the log by now counts. */
+  /** Reads all counts in the log, then makes the window's counts final. */
   private void readThenFix(long window) {
     if (tail == null || !tail.isCaughtUp()) {
       return;
@@ -172,7 +172,7 @@
     DutyRecord.UsageReported record =
         new DutyRecord.UsageReported(
             usage.fence(), context.settings().node(), context.incarnation(), usage.window());
-    // It is not sent again whatever becomes of the record.
+    // Marks it as reported here, so that it is not sent again if the append fails.
     reports.onReported(record);
     duties.append(record);
     duties.onCallAnswered();
--- a/node/src/main/java/org/passhaven/node/gateway/package-info.java
+++ b/node/src/main/java/org/passhaven/node/gateway/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A node on a platform that keeps all state: requests, batch jobs, weight orders, each driven by
- * the pure decisions in {@code core}. Everything runs on one event loop.
+ * The gateway node: forwards requests, runs batch jobs and orders weight versions. It keeps its
+ * state in the platform's log and tables, executes the decisions of the pure logic in {@code core},
+ * and runs on a single event loop.
  */
 package org.passhaven.node.gateway;
--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -19,9 +19,7 @@
 import org.passhaven.spi.BackEndService.Call;
 import org.passhaven.spi.DutyService;
 
-/**
- * Several services at one node, each with one server of one place, so with a limit of two requests.
- */
+/** Guards against lost decisions when a rejected request causes one to another service. */
 class AdmissionServicesTest {
   private static final long DEADLINE_MILLIS = 1_500;
   private static final Route ROUTE =
@@ -82,7 +80,7 @@
   }
 
   @Test
-  void anEndThatMakesARunnerAskForAServiceThatWasNotUsedYetIsCarriedOut() {
+  void closingAdmissionAllowsARejectedCallerToUseANewService() {
     ask("1", "old", () -> {});
     ask("2", "old", () -> {});
     ask("3", "old", () -> ask("4", "new", () -> {}));
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -24,10 +24,7 @@
 import org.passhaven.spi.DutyService;
 import org.passhaven.spi.PlatformException;
 
-/**
- * Attempts that end within the call that sends them, as those do for which a node has no room under
- * way to a server.
- */
+/** Guards against attempts that fail while they are being sent and are left in progress. */
 class ForwardAttemptsTest {
   private static final long DEADLINE_MILLIS = 1_500;
   private static final Route ROUTE =
@@ -56,7 +53,7 @@
           new ServerHealth(),
           new Call("id", "", "GET", "/", "h", List.of(), new byte[0], DEADLINE_MILLIS),
           new ForwardPlan(ROUTE, DEADLINE_MILLIS),
-          new Heard());
+          new RecordingListener());
 
   private static final class FullServers extends GatewayFixture.NoServers {
     @Override
@@ -66,10 +63,10 @@
     }
   }
 
-  private final class Heard implements ForwardAttempts.Listener {
+  private final class RecordingListener implements ForwardAttempts.Listener {
     @Override
     public void onAnswer(ServerEntry server, Answer answer, long sentAtMillis) {
-      throw new IllegalStateException("nobody answers");
+      throw new IllegalStateException("no server answers in this test");
     }
 
     @Override
@@ -98,7 +95,7 @@
   }
 
   @Test
-  void anAttemptThatEndsAtOnceIsNotUnderWayAndIsNeverCalledSilent() {
+  void anAttemptThatFailsImmediatelyIsNotInProgressAndIsNeverHedged() {
     attempts.send(SERVER, false);
     assertThat(failures, contains(PlatformException.Kind.HELD_BACK));
     assertThat(attempts.isRunning(), equalTo(false));
--- a/node/src/test/java/org/passhaven/node/gateway/MemberAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemberAgentTest.java
@@ -20,6 +20,10 @@
 import org.passhaven.protocol.member.ServerUse;
 import org.passhaven.spi.DutyService;
 
+/**
+ * Guards against wrong liveness decisions after restarts, clock jumps and outages of the log, and
+ * against heartbeats at the wrong period.
+ */
 class MemberAgentTest {
   private static final String STREAM = "members.0";
   private static final long FRESH_MILLIS = 6_000;
@@ -46,7 +50,7 @@
   private int timesFleetLost;
 
   @BeforeEach
-  void fillTheLogOfAFleetThatIsGone() {
+  void writeHeartbeatsOfALostFleet() {
     for (int i = 0; i < 20; i++) {
       MemberBeat beat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
       log.stream(STREAM).add(Codec.encode(beat));
@@ -59,7 +63,7 @@
   }
 
   @Test
-  void aFleetThatWasLostHoldsUpNobody() {
+  void aLostFleetDoesNotDelayANewNode() {
     timers.advance(400);
     assertThat(timesFleetLost, equalTo(0));
     assertThat(agent.isSettled(), is(false));
@@ -72,7 +76,7 @@
   }
 
   @Test
-  void whileThisNodesOwnNextBeatIsNotBackOthersMayBeAsSlow() {
+  void theFleetIsNotLostWhileThisNodesOwnHeartbeatIsDelayed() {
     timers.advance(10);
     log.appends = MemoryLog.Manner.SILENT;
     timers.advance(590);
@@ -83,7 +87,7 @@
   }
 
   @Test
-  void aFleetThatGoesOnIsNotLost() {
+  void aFleetThatKeepsSendingHeartbeatsIsNotLost() {
     timers.advance(400);
     for (int i = 0; i < 20; i++) {
       MemberBeat beat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
@@ -95,7 +99,7 @@
   }
 
   @Test
-  void whoLivesIsKnownOnceThisNodesNextBeatIsBack() {
+  void livenessIsKnownOnceTheNextOwnHeartbeatIsReadBack() {
     timers.advance(400);
     assertThat(agent.isLivenessUnknown(), is(true));
     for (int i = 0; i < 20; i++) {
@@ -108,7 +112,7 @@
   }
 
   @Test
-  void aLogThatFallsSilentDoesNotKeepANodeFromNamingOthersForLong() {
+  void livenessIsNoLongerUnknownAfterATimeoutIfTheLogStopsAnswering() {
     timers.advance(10);
     log.appends = MemoryLog.Manner.SILENT;
     timers.advance(1_080);
@@ -129,7 +133,7 @@
   }
 
   @Test
-  void aNodeOnWhichNobodyDependsBeatsOnceASecond() {
+  void anIdleNodeSendsAHeartbeatEverySecond() {
     passTheFirstSeconds();
     assertThat(beatsWithin(10_000), equalTo(10));
     assertThat(newestBeat().periodMillis(), equalTo(1_000L));
@@ -138,7 +142,7 @@
   }
 
   @Test
-  void aNodeOnWhichSomethingDependsBeatsAtThePaceOfTheSettings() {
+  void aNodeInUseSendsHeartbeatsAtTheConfiguredPeriod() {
     passTheFirstSeconds();
     isDependedOn = true;
     assertThat(beatsWithin(10_000), equalTo(20));
@@ -146,7 +150,7 @@
   }
 
   @Test
-  void whatComesToDependOnANodeIsToldAtOnce() {
+  void aNodeThatComesIntoUseAnnouncesTheShorterPeriodAtOnce() {
     passTheFirstSeconds();
     beatsWithin(10_000);
     isDependedOn = true;
@@ -158,14 +162,14 @@
   }
 
   @Test
-  void aNodeThatLeavesSaysSoAtOnce() {
+  void aLeavingNodeAnnouncesItAtOnce() {
     passTheFirstSeconds();
     agent.announceLeaving();
     assertThat(newestBeat().taking(), is(false));
   }
 
   @Test
-  void aBeatIsNotRepeatedWhileOneIsUnderWay() {
+  void noHeartbeatIsSentWhileOneIsInFlight() {
     passTheFirstSeconds();
     log.appends = MemoryLog.Manner.SILENT;
     isDependedOn = true;
@@ -175,18 +179,18 @@
   }
 
   @Test
-  void afterASuspensionANodeIsInTouchOnceABeatSentSinceThenWasReadBack() {
+  void afterASuspensionTheLogIsReachableOnceALaterHeartbeatIsReadBack() {
     passTheFirstSeconds();
     assertThat(agent.isInTouch(), is(true));
     timers.suspend(5_000);
     assertThat(agent.isInTouch(), is(false));
-    // It beats at its next tick, whatever its period, and reads at once.
+    // It sends a heartbeat at its next tick, whatever its period, and reads immediately.
     timers.advance(600);
     assertThat(agent.isInTouch(), is(true));
   }
 
   @Test
-  void whileTheLogIsAwayANodeThatWokeIsNotInTouch() {
+  void afterASuspensionTheLogIsNotReachableWhileAppendsHang() {
     passTheFirstSeconds();
     log.appends = MemoryLog.Manner.SILENT;
     timers.suspend(5_000);
@@ -195,7 +199,7 @@
   }
 
   @Test
-  void aReadThatASuspensionHasCutOffIsNotWaitedFor() {
+  void aReadThatHangsAfterASuspensionIsReplaced() {
     passTheFirstSeconds();
     log.hangReads = true;
     timers.advance(1_000);
@@ -211,7 +215,7 @@
   }
 
   @Test
-  void beatsTellOfServersWhileThereIsSomethingToTell() {
+  void heartbeatsCarryServerUseOnlyWhileThereIsSome() {
     List<ServerUse> own = new ArrayList<>();
     agent.shareServerUse(() -> own, beat -> {});
     own.add(new ServerUse("s", 0, 3, 45));
@@ -223,7 +227,7 @@
   }
 
   @Test
-  void whatOthersTellOfServersIsPassedOnAndWhatWasToldLongAgoIsNot() {
+  void newServerUseOfOtherNodesIsPassedOnAndOldIsNot() {
     List<MemberBeat> told = new ArrayList<>();
     agent.shareServerUse(List::of, told::add);
     timers.advance(600);
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -47,7 +47,7 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.TableService.Entry;
 
-/** A runner's bursts at three servers of six places, answered by the test. */
+/** Guards against lost, overtaken or falsely reported requests when bursts exceed the servers. */
 class RequestAdmissionTest {
   private static final long DEADLINE_MILLIS = 1_500;
   private static final int BURST = 48;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** One tenant has a priority of its own. */
+  /** A configuration in which one tenant has its own priority. */
   private static final class Documents extends GatewayFixture.NoDocuments {
     @Override
     public boolean isConfiguration(String key) {
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void aBurstIsPacedAndEachEndLetsTheNextGo() {
+  void aBurstIsLimitedAndEachCompletionAdmitsTheNextRequest() {
     burst();
     assertThat(sent, hasSize(LIMIT));
     assertThat(gauge("waiting"), equalTo((double) BURST - LIMIT));
@@ -197,14 +197,14 @@
   }
 
   @Test
-  void aCallerGoesPastABurstAtOnce() {
+  void aCallerIsAdmittedBeforeAQueuedBurst() {
     burst();
     ask("caller", Source.CALLER);
     assertThat(sent.contains("caller"), is(true));
   }
 
   @Test
-  void whenAllServersAreGoneWhatWaitsIsRefusedAtOnceAndWhatWasSentIsNot() {
+  void whenAllServersAreGoneQueuedRequestsAreRejectedAndSentOnesContinue() {
     burst();
     remove("a", "b", "c");
     assertThat(outcomes.size(), equalTo(BURST - LIMIT));
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void whenSomeServersAreGoneTheOthersServeWhatWaits() {
+  void whenSomeServersAreGoneTheOthersServeQueuedRequests() {
     burst();
     remove("a", "b");
     assertThat(outcomes.size(), equalTo(0));
@@ -228,7 +228,7 @@
   }
 
   @Test
-  void aCallerThatLeavesIsNeverSent() {
+  void aCancelledQueuedRequestIsNeverSent() {
     burst();
     for (int i = LIMIT; i < BURST; i++) {
       callers.get("score" + i).cancel();
@@ -241,15 +241,14 @@
   }
 
   @Test
-  void aCallerThatLeavesWhileItsRequestRunsMakesRoom() {
+  void cancellingARequestInFlightAdmitsTheNextOne() {
     burst();
     callers.get("score0").cancel();
     assertThat(sent, hasSize(LIMIT + 1));
   }
 
-  /** Servers don't answer: waiting callers are rejected while they have time for a retry. */
   @Test
-  void behindSilentServersCallersAreRefusedAfterAThirdOfTheirTime() {
+  void ifServersDoNotAnswerCallersAreRejectedAfterAThirdOfTheirDeadline() {
     burst();
     for (int i = 0; i <= CALLER_FLOOR; i++) {
       ask("caller" + i, Source.CALLER);
@@ -262,12 +261,12 @@
   }
 
   @Test
-  void aNodeThatStopsHoldsNothingAndAtItsEndRefusesWhatWaits() {
+  void aStoppingNodeServesQueuedRequestsAndRejectsTheRestAtItsEnd() {
     burst();
     forwarder.admission().stop();
     assertThat(outcomes.values(), empty());
     answer("score0");
-    assertThat("what waits is still served", sent, hasSize(LIMIT + 1));
+    assertThat("queued requests are still served", sent, hasSize(LIMIT + 1));
     forwarder.admission().end();
     assertThat(outcomes.size(), equalTo(BURST - LIMIT));
     sent.stream()
@@ -276,7 +275,7 @@
   }
 
   @Test
-  void aNodeThatStopsRefusesWithinASecondWhatWaits() {
+  void aStoppingNodeRejectsQueuedRequestsWithinASecond() {
     burst();
     forwarder.admission().stop();
     timers.advance(1_020);
@@ -285,7 +284,7 @@
   }
 
   @Test
-  void aTenantsRankGoesBeforeItsRoutes() {
+  void aTenantsPriorityOverridesTheRoutes() {
     burst();
     for (int i = 0; i < CALLER_FLOOR; i++) {
       ask("before" + i, Source.CALLER, "other");
@@ -301,7 +300,7 @@
   /** Random arrivals and departures of callers, and refusals, crashes and restarts of servers. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void nothingThatAServerMayHaveRunIsToldAsNotRun(long seed) {
+  void noRequestThatAServerMayHaveRunIsReportedAsNotRun(long seed) {
     Random random = new Random(seed);
     Set<String> mayHaveRun = new HashSet<>();
     for (int i = 0; i < 3_000; i++) {
@@ -347,7 +346,7 @@
     }
   }
 
-  /** Refused connections end attempts within the call that sends them. */
+  /** Refused connections end attempts while they are being sent. */
   @Test
   void whileConnectionsAreRefusedEveryRequestEndsAsNotRun() {
     isRefusing = true;
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -33,7 +33,7 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.TableService.Entry;
 
-/** Requests at servers that the test answers for. */
+/** Guards against repeated crashes by one request, and against wrong retries and outcomes. */
 class RequestForwarderTest {
   private static final long DEADLINE_MILLIS = 1_500;
   private static final long HEDGE_MILLIS = 150;
@@ -131,7 +131,7 @@
     timers.advance(5);
   }
 
-  /** A server by this node's own order. */
+  /** Returns a server by its place in this node's order of preference. */
   private String ordered(int place) {
     List<ServerEntry> servers = List.of("a", "b", "c").stream().map(this::entry).toList();
     Member self = new Member("n", "z");
@@ -142,7 +142,7 @@
     return sent.get(sent.size() - 1);
   }
 
-  /** A server crashes; its next start is listed a second later. */
+  /** Crashes a server; its next incarnation is listed a second later. */
   private void crash(Sent run) {
     run.crash();
     timers.after(
@@ -162,7 +162,7 @@
     tables.add("servers", List.of(new Entry(instance, Codec.encode(entry(instance)))));
   }
 
-  /** Servers crash until the request is not sent on any more. */
+  /** Sends a request and crashes each server that runs it until it is no longer retried. */
   private void askAndCrash(String path) {
     ask(path);
     int seen;
@@ -174,7 +174,7 @@
   }
 
   @Test
-  void onTheOrdinaryPathNothingIsAskedOrToldOrKept() {
+  void successfulRequestsCauseNoCrashChecksOrNotes() {
     int puts = tables.puts;
     for (int i = 0; i < 100; i++) {
       ask("/p" + i);
@@ -187,14 +187,14 @@
   }
 
   @Test
-  void oneTryCrashesTwoServersAtMostThoughFourAreAllowed() {
+  void oneRequestCrashesAtMostTwoServersEvenIfFourAttemptsAreAllowed() {
     askAndCrash("/p");
     assertThat(sent.stream().map(Sent::server).toList(), contains(ordered(0), ordered(1)));
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.Unknown.class));
   }
 
   @Test
-  void whatIsHeldBackIsRefusedAtOnceWithTheTimeOfItsTrial() {
+  void aHeldBackRequestIsRejectedAtOnceWithTheTimeOfItsTrial() {
     askAndCrash("/p");
     ask("/p");
     assertThat(sent, hasSize(2));
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void aTrialThatEndsWellClearsARequest() {
+  void aSuccessfulTrialClearsARequest() {
     askAndCrash("/p");
     timers.advance(4_000);
     ask("/p");
@@ -217,7 +217,7 @@
   }
 
   @Test
-  void aTrialThatCrashesAServerIsTheOnlyRunUntilTheNextOne() {
+  void aRequestWhoseTrialCrashesAServerIsHeldBackUntilTheNextTrial() {
     askAndCrash("/p");
     timers.advance(4_000);
     askAndCrash("/p");
@@ -231,7 +231,7 @@
   }
 
   @Test
-  void aServerThatIsFullDoesNotUseATrialUp() {
+  void anAttemptAtAFullServerDoesNotConsumeATrial() {
     askAndCrash("/p");
     timers.advance(4_000);
     ask("/p");
@@ -243,20 +243,20 @@
   }
 
   @Test
-  void aRequestUnderWhichAServerEndedRunsAtOneServerAtATime() {
+  void aRequestThatCrashedAServerIsNotHedged() {
     ask("/p");
     last().crash();
     timers.advance(5);
     assertThat(sent, hasSize(2));
     timers.advance(4 * HEDGE_MILLIS);
-    assertThat("no second run beside the first", sent, hasSize(2));
+    assertThat("no hedged attempt is sent", sent, hasSize(2));
     ask("/other");
     timers.advance(HEDGE_MILLIS);
-    assertThat("others have theirs", sent, hasSize(4));
+    assertThat("other requests are still hedged", sent, hasSize(4));
   }
 
   @Test
-  void afterASuspensionNothingIsSentInTimeThatMayBeGone() {
+  void afterASuspensionNoRequestIsSentPastItsDeadline() {
     ask("/p");
     timers.suspend(5_000);
     last().refuse();
@@ -278,7 +278,7 @@
   }
 
   @Test
-  void aRequestThatIsOverIsKeptByNoTimer() {
+  void aFinishedRequestLeavesNoTimer() {
     int before = timers.pending();
     ask("/p");
     assertThat(timers.pending(), greaterThan(before));
@@ -287,7 +287,7 @@
   }
 
   @Test
-  void aBodyThatIsHeldBackFromOneServerGoesToAnotherAndIsNothingAgainstTheFirst() {
+  void aBodyThatIsHeldBackFromOneServerGoesToAnotherWithoutMarkingTheFirstAsFailed() {
     ask("/p");
     String first = last().server();
     last().fail(PlatformException.Kind.HELD_BACK);
@@ -313,14 +313,14 @@
   }
 
   @Test
-  void anAnswerThatHadNoRoomIsOfUnknownOutcomeAndIsNotAskedForAgain() {
+  void aDroppedAnswerHasAnUnknownOutcomeAndIsNotRetried() {
     ask("/p");
     String server = last().server();
     last().fail(PlatformException.Kind.ANSWER_DROPPED);
     timers.advance(4 * HEDGE_MILLIS);
     assertThat(sent, hasSize(1));
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.Unknown.class));
-    assertThat("it ran, and counts", began, hasSize(1));
+    assertThat("it counts as run", began, hasSize(1));
     assertThat(checks, equalTo(0));
     ask("/q");
     assertThat(last().server(), equalTo(server));
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -44,10 +44,11 @@
 import org.passhaven.spi.TableService.Entry;
 
 /**
- * Forwarding by one node of a large fleet to its subset of a service; the test answers for servers.
+ * Guards against requests outside a node's subset while its servers are usable, and against
+ * failures while they are not.
  */
 class SubsetForwardTest {
-  /** A node that chooses late in each round, so that other nodes' choices affect its own. */
+  /** A node that chooses late in each round, so that its subset depends on other nodes. */
   private static final String SELF = "n3";
 
   private static final int NODES = 80;
@@ -189,7 +190,7 @@
   }
 
   @Test
-  void aNodeWithFewRequestsKeepsToItsFirstChoice() {
+  void aNodeWithFewRequestsUsesItsFirstChoiceOnly() {
     for (int i = 0; i < 50; i++) {
       ask();
       last().succeed();
@@ -199,7 +200,7 @@
   }
 
   @Test
-  void theFirstChoiceStaysWhileItIsInTheSubsetAndOnlyNodesGo() {
+  void theFirstChoiceStaysWhileItIsInTheSubsetAndOnlyNodesLeave() {
     ask();
     last().succeed();
     String first = preferred(0);
@@ -219,7 +220,7 @@
   }
 
   @Test
-  void theFirstChoiceStaysWhereAServerTellsOfNewWeights() {
+  void theFirstChoiceStaysWhenAServerLoadsNewWeights() {
     ask();
     last().succeed();
     String first = preferred(0);
@@ -241,13 +242,13 @@
   }
 
   @Test
-  void fewRequestsAtOnceStayInTheSubset() {
+  void fewConcurrentRequestsStayInTheSubset() {
     IntStream.range(0, 4).forEach(i -> ask());
     assertThat(used(), everyItem(is(in(inSubset()))));
   }
 
   @Test
-  void aRunnerWithManyRequestsAtOnceUsesEveryServerItNeeds() {
+  void aNodeWithManyConcurrentRequestsUsesAsManyServersAsItNeeds() {
     for (int burst = 0; burst < 6; burst++) {
       int from = sent.size();
       IntStream.range(0, 12).forEach(i -> ask());
@@ -261,7 +262,7 @@
   }
 
   @Test
-  void afterABurstTheSubsetIsSmallAgain() {
+  void theSubsetShrinksAfterABurst() {
     IntStream.range(0, 12).forEach(i -> ask());
     List.copyOf(sent).forEach(Sent::succeed);
     timers.advance(11_000);
@@ -274,7 +275,7 @@
   }
 
   @Test
-  void aServerThatDrainsOrIsGoneLeavesTheSubsetAtOnceAndAnotherJoins() {
+  void aDrainingOrRemovedServerIsReplacedInTheSubsetAtOnce() {
     int first = Integer.parseInt(preferred(0).substring(1));
     list(entry(first, false));
     timers.advance(10);
@@ -291,7 +292,7 @@
   }
 
   @Test
-  void whereTheWholeSubsetRefusesARequestGoesToAnotherServerWithinItsAttempts() {
+  void aRequestThatTheWholeSubsetRefusesGoesToAnotherServerWithinItsAttempts() {
     ask();
     for (int refused = 0; refused < 3; refused++) {
       last().refuse();
@@ -306,7 +307,7 @@
   }
 
   @Test
-  void aNodeCutOffFromItsSubsetServesFromOtherServersAndComesBack() {
+  void aNodeWhoseSubsetIsUnreachableUsesOtherServersAndReturnsLater() {
     ask();
     for (int i = 0; i < 3; i++) {
       last().isUnreachable();
@@ -314,7 +315,7 @@
     }
     last().succeed();
     ask();
-    assertThat("nothing is tried where it just failed", sent, hasSize(5));
+    assertThat("servers that just failed are not tried again", sent, hasSize(5));
     assertThat(last().server(), not(in(inSubset())));
     last().succeed();
     timers.advance(5_000);
@@ -323,7 +324,7 @@
   }
 
   @Test
-  void aHedgeGoesOutsideWhereTheRestOfTheSubsetIsNotGood() {
+  void aHedgedAttemptLeavesTheSubsetIfTheRestOfItIsNotUsable() {
     ask();
     last().refuse();
     timers.advance(15);
@@ -338,14 +339,14 @@
   }
 
   @Test
-  void aNodeThatSeesNobodyElseStillHasAllServers() {
+  void aNodeThatKnowsNoOtherNodesUsesAllServers() {
     nodes = List.of();
     IntStream.range(0, SERVERS * PLACES).forEach(i -> ask());
     assertThat(used(), hasSize(SERVERS));
   }
 
   @Test
-  void whereAllServersAreBadARequestIsStillTriedAtOthers() {
+  void aRequestIsStillSentWhenAllServersHaveFailed() {
     for (int i = 0; i < 3; i++) {
       ask();
       IntStream.range(0, 6)
