--- a/node/src/main/java/org/passhaven/node/gateway/AdmissionLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/AdmissionLog.java
@@ -17,26 +17,26 @@
   private static final int MAX_REJECTIONS_PER_SECOND = 20;
 
   /** Earlier than any clock reading, yet safe to subtract without overflow. */
-  private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+  private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
-  private long secondBeganAtMillis = LONG_AGO_MILLIS;
+  private long secondStartMillis = NEVER_MILLIS;
   private int linesInSecond;
 
   /** Logs that a request was queued. */
-  void onWaits(String id, AdmissionRequest request, Load load, double expectedWaitMillis) {
-    line(Level.DEBUG, id, request, load)
+  void onQueued(String id, AdmissionRequest request, Load load, double expectedWaitMillis) {
+    newEvent(Level.DEBUG, id, request, load)
         .addKeyValue("expectedWaitMillis", (long) expectedWaitMillis)
         .log("admission: waits");
   }
 
   /** Logs that a request was rejected before it was sent, up to a limit per second. */
   void onRejected(String id, AdmissionRequest request, Load load, Reject verdict, long nowMillis) {
-    if (nowMillis - secondBeganAtMillis >= SECOND_MILLIS) {
-      secondBeganAtMillis = nowMillis;
+    if (nowMillis - secondStartMillis >= SECOND_MILLIS) {
+      secondStartMillis = nowMillis;
       linesInSecond = 0;
     }
     if (linesInSecond++ < MAX_REJECTIONS_PER_SECOND) {
-      line(Level.INFO, id, request, load)
+      newEvent(Level.INFO, id, request, load)
           .addKeyValue("leftMillis", request.deadlineMillis() - nowMillis)
           .addKeyValue("retryAfterMillis", verdict.retryAfterMillis())
           .addKeyValue("reason", verdict.reason().text())
@@ -44,7 +44,7 @@
     }
   }
 
-  private static LoggingEventBuilder line(
+  private static LoggingEventBuilder newEvent(
       Level level, String id, AdmissionRequest request, Load load) {
     return LOG.atLevel(level)
         .addKeyValue("request", id)
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -12,7 +12,7 @@
  * records the results of its runs. A request that crashed servers is held back, then retried in
  * single trials.
  */
-final class ForwardGate {
+final class CrashGuard {
   private final CrashLog crashes;
   private final Call call;
 
@@ -21,10 +21,10 @@
 
   private boolean isInTrial;
   private boolean isClaiming;
-  private boolean isHeld;
+  private boolean isHeldBack;
   private long heldUntilMillis = Long.MIN_VALUE;
 
-  ForwardGate(CrashLog crashes, Call call) {
+  CrashGuard(CrashLog crashes, Call call) {
     this.crashes = Objects.requireNonNull(crashes, "crashes");
     this.call = Objects.requireNonNull(call, "call");
   }
@@ -54,12 +54,12 @@
           .subscribe()
           .with(ignored -> onClaimed(whenClaimed));
     }
-    note(verdict);
+    updateHeldBack(verdict);
     return verdict instanceof Verdict.Clear || (verdict instanceof Verdict.Alone && !isRunning);
   }
 
-  private void note(Verdict verdict) {
-    isHeld = verdict instanceof Verdict.Held || verdict instanceof Verdict.TrialDue;
+  private void updateHeldBack(Verdict verdict) {
+    isHeldBack = verdict instanceof Verdict.Held || verdict instanceof Verdict.TrialDue;
     if (verdict instanceof Verdict.Held held) {
       heldUntilMillis = held.untilMillis();
     }
@@ -68,7 +68,7 @@
   private void onClaimed(Runnable whenClaimed) {
     isClaiming = false;
     isInTrial = crashes.takeTrial(fingerprint());
-    note(crashes.verdict(fingerprint()));
+    updateHeldBack(crashes.verdict(fingerprint()));
     whenClaimed.run();
   }
 
@@ -83,8 +83,8 @@
   }
 
   /** Returns whether the last verdict held the request back. */
-  boolean isHeld() {
-    return isHeld;
+  boolean isHeldBack() {
+    return isHeldBack;
   }
 
   /** Returns when the next trial of a held-back request is due, in monotonic milliseconds. */
@@ -105,7 +105,7 @@
    * Records an attempt that ended without an answer. Completes when it is known whether the server
    * crashed, or the check timed out; the next attempt must wait for that.
    */
-  Uni<Void> onBroken(ServerEntry server) {
+  Uni<Void> onOutcomeUnknown(ServerEntry server) {
     isInTrial = false;
     return crashes.onBroken(fingerprint(), server);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/Directory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Directory.java
@@ -28,13 +28,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
 
   /** Longer than a read of the operator's table takes on a slow store. */
-  private static final long CONFIRM_LIMIT_MILLIS = 400;
+  private static final long CONFIRM_TIMEOUT_MILLIS = 400;
 
   /** Divisor of the propagation limit: a configuration read more recently is not read again. */
-  private static final int FRESH_PART = 2;
+  private static final int FRESHNESS_DIVISOR = 2;
 
   /** Limits the remembered keys of unreadable entries, each of which is logged once. */
-  private static final int MOST_UNREADABLE = 1_000;
+  private static final int MAX_UNREADABLE_KEYS = 1_000;
 
   private final GatewayContext context;
   private final PlatformDocuments documents;
@@ -78,7 +78,7 @@
   }
 
   /** Ends the current pause between reads, for a node that now needs changes of servers at once. */
-  void hurry() {
+  void endReadPause() {
     serverEntries.hurry();
   }
 
@@ -108,12 +108,12 @@
    * that must be in force is in force, false if the store does not answer in time.
    */
   public Uni<Boolean> confirmConfiguration() {
-    if (operator.wasReadWithin(context.settings().inForce().toMillis() / FRESH_PART)) {
+    if (operator.wasReadWithin(context.settings().inForce().toMillis() / FRESHNESS_DIVISOR)) {
       return Uni.createFrom().item(true);
     }
     return context
         .timers()
-        .limit(operator.refresh(), CONFIRM_LIMIT_MILLIS, "configuration")
+        .limit(operator.refresh(), CONFIRM_TIMEOUT_MILLIS, "configuration")
         .onFailure()
         .recoverWithItem(false);
   }
@@ -148,11 +148,11 @@
     ServerEntry before = servers.get(start);
     servers.onReached(start, model, version);
     if (!Objects.equals(before, servers.get(start))) {
-      changed();
+      notifyListeners();
     }
   }
 
-  private void changed() {
+  private void notifyListeners() {
     listeners.forEach(Runnable::run);
   }
 
@@ -189,7 +189,7 @@
           .addKeyValue("silentMillis", text(operator.silentMillis()))
           .log("configuration: in force");
       routes = table;
-      changed();
+      notifyListeners();
     }
 
     private static String text(OptionalLong millis) {
@@ -204,7 +204,7 @@
             .addKeyValue("model", model)
             .addKeyValue("version", version)
             .log("weights: named");
-        changed();
+        notifyListeners();
       }
     }
 
@@ -228,7 +228,7 @@
       ServerEntry after = servers.listed(key);
       if (!Objects.equals(before, after)) {
         logChange(key, before, after);
-        changed();
+        notifyListeners();
       }
     }
 
@@ -247,7 +247,7 @@
     /** Logs a key once for each reason, since servers rewrite their entries with each heartbeat. */
     private void logUnreadable(String key, String reason) {
       boolean isNews = !reason.equals(unreadable.get(key));
-      if (isNews && unreadable.size() < MOST_UNREADABLE) {
+      if (isNews && unreadable.size() < MAX_UNREADABLE_KEYS) {
         unreadable.put(key, reason);
         LOG.atError()
             .addKeyValue("server", key)
@@ -274,7 +274,7 @@
     public void onListed(Set<String> keys) {
       servers.retain(keys);
       unreadable.keySet().retainAll(keys);
-      changed();
+      notifyListeners();
     }
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -22,16 +22,18 @@
   private static final String STREAM = "orders.0";
 
   /** Shorter than the claim delay between candidates, so that they claim in order of their rank. */
-  private static final long STANDBY_MILLIS = 300;
+  private static final long STANDBY_DECISION_INTERVAL_MILLIS = 300;
 
   /** Pause between reads on nodes that run jobs or may claim the lease next. */
-  private static final long STANDBY_READ_MILLIS = 150;
+  private static final long STANDBY_READ_PAUSE_MILLIS = 150;
 
   /** Shorter than the silence of a live holder after which the first candidate claims the lease. */
-  private static final long IDLE_READ_MILLIS = 1_000;
+  private static final long IDLE_READ_PAUSE_MILLIS = 1_000;
 
-  /** Candidates of a higher rank wait longer than {@link #IDLE_READ_MILLIS} before they claim. */
-  private static final int CLOSE_CANDIDATES = 4;
+  /**
+   * Candidates of a higher rank wait longer than {@link #IDLE_READ_PAUSE_MILLIS} before they claim.
+   */
+  private static final int FAST_READ_CANDIDATES = 4;
 
   private final GatewayContext context;
   private final MemberAgent members;
@@ -39,12 +41,12 @@
   private final DutyLease lease;
   private final LogTail tail;
   private final List<Duty> duties = new ArrayList<>();
-  private long clockGapsSeen;
-  private long decidedAtMillis = Long.MIN_VALUE / 2;
+  private long knownClockJumps;
+  private long lastDecisionMillis = Long.MIN_VALUE / 2;
   private boolean wasHolder;
   private boolean stopping;
-  private int callsUnderWay;
-  private long unansweredAtMillis = Long.MIN_VALUE / 2;
+  private int callsInFlight;
+  private long lastUnansweredMillis = Long.MIN_VALUE / 2;
 
   /** Creates an agent; {@link #start} begins its work. */
   DutyAgent(GatewayContext context, MemberAgent members, JobLog jobs) {
@@ -54,7 +56,8 @@
     GatewaySettings settings = context.settings();
     this.lease = new DutyLease(settings.node(), context.incarnation(), settings.lease());
     this.tail =
-        new LogTail(context.log(), context.timers(), STREAM, this::pauseMillis, new LeaseReader());
+        new LogTail(
+            context.log(), context.timers(), STREAM, this::readPauseMillis, new LeaseReader());
   }
 
   /** Adds a duty. Must be called before {@link #start}. */
@@ -97,12 +100,12 @@
 
   /** Counts a call that a duty sends. */
   void onCallSent() {
-    callsUnderWay++;
+    callsInFlight++;
   }
 
   /** Records that a call was answered and is no longer in flight. */
   void onCallAnswered() {
-    callsUnderWay--;
+    callsInFlight--;
     releaseIfDone();
   }
 
@@ -110,14 +113,14 @@
    * Records that a call got no answer. It may still arrive, which delays a release of the lease.
    */
   void onCallUnanswered() {
-    callsUnderWay--;
-    unansweredAtMillis = context.now();
+    callsInFlight--;
+    lastUnansweredMillis = context.now();
   }
 
   private void releaseIfDone() {
-    long sinceUnanswered = context.now() - unansweredAtMillis;
+    long sinceUnanswered = context.now() - lastUnansweredMillis;
     boolean allArrived = sinceUnanswered >= context.settings().lease().handOverMillis();
-    if (stopping && callsUnderWay == 0 && allArrived) {
+    if (stopping && callsInFlight == 0 && allArrived) {
       lease.release().ifPresent(this::append);
     }
   }
@@ -134,7 +137,7 @@
     lease.onRecord(record, now());
     duties.forEach(duty -> duty.onRecord(record));
     if (!(record instanceof DutyRecord.Reached)) {
-      afterChange();
+      onLeaseChanged();
     }
   }
 
@@ -145,10 +148,10 @@
         .addKeyValue("next", nextOffset)
         .log("duties: records are gone, the holder is unknown");
     lease.onGap(nextOffset);
-    afterChange();
+    onLeaseChanged();
   }
 
-  private void afterChange() {
+  private void onLeaseChanged() {
     if (lease.isHolder() != wasHolder) {
       wasHolder = lease.isHolder();
       LOG.atInfo()
@@ -161,19 +164,21 @@
     decide();
   }
 
-  private long pauseMillis() {
+  private long readPauseMillis() {
     if (lease.isHolder()) {
       return 0;
     }
-    return jobs.isRunner() || rank() < CLOSE_CANDIDATES ? STANDBY_READ_MILLIS : IDLE_READ_MILLIS;
+    return jobs.isRunner() || candidateRank() < FAST_READ_CANDIDATES
+        ? STANDBY_READ_PAUSE_MILLIS
+        : IDLE_READ_PAUSE_MILLIS;
   }
 
   /** Returns the current time, after ending the lease if the process was suspended. */
   private long now() {
     long now = context.now();
-    long gaps = context.timers().clockGaps().count();
-    if (gaps != clockGapsSeen) {
-      clockGapsSeen = gaps;
+    long jumps = context.timers().clockGaps().count();
+    if (jumps != knownClockJumps) {
+      knownClockJumps = jumps;
       lease.onClockGap();
     }
     return now;
@@ -183,7 +188,7 @@
   private boolean isOnStandby(long nowMillis) {
     return !lease.isHolder()
         && members.beats().isTaking(lease.holder(), lease.holderIncarnation())
-        && nowMillis - decidedAtMillis < STANDBY_MILLIS;
+        && nowMillis - lastDecisionMillis < STANDBY_DECISION_INTERVAL_MILLIS;
   }
 
   /** Claims or renews the lease if needed, and runs the duties if this node holds it. */
@@ -195,16 +200,17 @@
     if (isOnStandby(now)) {
       return;
     }
-    decidedAtMillis = now;
+    lastDecisionMillis = now;
     // A former holder need not know the liveness of other nodes: only itself held the lease.
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
     boolean mayClaim = members.isSettled() || (isFormerHolder && members.isInTouch());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
-    BeatTable beats = members.beats();
+    BeatTable heartbeats = members.beats();
     boolean holderAlive =
-        beats.isTaking(lease.holder(), lease.holderIncarnation())
-            || (lease.isFresh(now) && !beats.isOver(lease.holder(), lease.holderIncarnation()));
-    lease.next(needed, holderAlive, rank(), now).ifPresent(this::append);
+        heartbeats.isTaking(lease.holder(), lease.holderIncarnation())
+            || (lease.isFresh(now)
+                && !heartbeats.isOver(lease.holder(), lease.holderIncarnation()));
+    lease.next(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
     if (lease.mayAct(now)) {
       duties.forEach(duty -> duty.act(now));
     }
@@ -214,7 +220,7 @@
    * Returns this node's rank among the candidates. A restarted holder comes first, since only it
    * need not wait for calls sent before its restart.
    */
-  private int rank() {
+  private int candidateRank() {
     String node = context.settings().node();
     if (lease.holder().equals(node)) {
       return 0;
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -24,9 +24,9 @@
   private final ForwardPlan plan;
   private final Listener listener;
   private final Map<Integer, Cancellable> inProgress = new HashMap<>();
-  private final List<Timers.Timer> hedges = new ArrayList<>(2);
-  private int begun;
-  private boolean isOver;
+  private final List<Timers.Timer> hedgeTimers = new ArrayList<>(2);
+  private int attemptsSent;
+  private boolean isCancelled;
 
   /** Receives the result of each attempt. Times of sending are in monotonic milliseconds. */
   interface Listener {
@@ -37,7 +37,7 @@
     void onFailure(ServerEntry server, PlatformException failure, long sentAtMillis);
 
     /** Called when a server has not answered within the hedge delay. */
-    void onSilent(ServerEntry server);
+    void onHedgeDue(ServerEntry server);
   }
 
   ForwardAttempts(
@@ -56,26 +56,26 @@
    * @param isHedge whether another attempt is in progress
    */
   void send(ServerEntry server, boolean isHedge) {
-    int attempt = begun++;
-    long sentAt = context.now();
+    int attempt = attemptsSent++;
+    long sentAtMillis = context.now();
     health.onSent(server.start());
     inProgress.put(attempt, () -> {});
-    Call left = withTimeLeft(sentAt);
+    Call attemptCall = withTimeLeft(sentAtMillis);
     Target target = ServerTargets.of(server);
     BackEndService backEnds = context.backEnds();
     Cancellable sending =
-        (isHedge ? backEnds.callAnew(target, left) : backEnds.call(target, left))
+        (isHedge ? backEnds.callAnew(target, attemptCall) : backEnds.call(target, attemptCall))
             .onTermination()
             .invoke(() -> health.onEnded(server.start()))
             .subscribe()
             .with(
                 answer -> {
                   inProgress.remove(attempt);
-                  listener.onAnswer(server, answer, sentAt);
+                  listener.onAnswer(server, answer, sentAtMillis);
                 },
                 failure -> {
                   inProgress.remove(attempt);
-                  listener.onFailure(server, PlatformException.from(failure), sentAt);
+                  listener.onFailure(server, PlatformException.from(failure), sentAtMillis);
                 });
     // The attempt may have ended during subscribe().
     if (inProgress.replace(attempt, sending) == null) {
@@ -83,7 +83,9 @@
     }
     plan.hedgeAfterMillis()
         .ifPresent(
-            after -> hedges.add(context.timers().after(after, () -> hedge(attempt, server))));
+            delayMillis ->
+                hedgeTimers.add(
+                    context.timers().after(delayMillis, () -> onHedgeTimer(attempt, server))));
   }
 
   private Call withTimeLeft(long nowMillis) {
@@ -98,27 +100,27 @@
         Math.max(1, plan.leftMillis(nowMillis)));
   }
 
-  private void hedge(int attempt, ServerEntry server) {
-    if (!isOver && inProgress.containsKey(attempt)) {
-      listener.onSilent(server);
+  private void onHedgeTimer(int attempt, ServerEntry server) {
+    if (!isCancelled && inProgress.containsKey(attempt)) {
+      listener.onHedgeDue(server);
     }
   }
 
   /** Returns whether any attempt is in progress. */
-  boolean isRunning() {
+  boolean isInProgress() {
     return !inProgress.isEmpty();
   }
 
   /** Returns the number of attempts sent so far. */
-  int begun() {
-    return begun;
+  int attemptsSent() {
+    return attemptsSent;
   }
 
   /** Cancels all attempts and hedge timers, when the request is over. */
   void cancel() {
-    isOver = true;
+    isCancelled = true;
     // A pending timer would keep the request's body in memory.
-    hedges.forEach(Timers.Timer::cancel);
+    hedgeTimers.forEach(Timers.Timer::cancel);
     List<Cancellable> running = List.copyOf(inProgress.values());
     inProgress.clear();
     running.forEach(Cancellable::cancel);
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardLog.java
@@ -17,8 +17,8 @@
   private final Route route;
   private final Call call;
   private final String service;
-  private final long beganAtMillis;
-  private String lastReason = "";
+  private final long startedAtMillis;
+  private String lastFailureReason = "";
 
   ForwardLog(
       GatewayContext context,
@@ -26,17 +26,17 @@
       Route route,
       Call call,
       String service,
-      long beganAtMillis) {
+      long startedAtMillis) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.route = Objects.requireNonNull(route, "route");
     this.call = Objects.requireNonNull(call, "call");
     this.service = Objects.requireNonNull(service, "service");
-    this.beganAtMillis = beganAtMillis;
+    this.startedAtMillis = startedAtMillis;
   }
 
   /** Logs that a server has not answered within the hedge delay. */
-  void onSilent(ServerEntry server) {
+  void onHedgeDue(ServerEntry server) {
     LOG.atDebug()
         .addKeyValue("request", call.id())
         .addKeyValue("server", server.start())
@@ -46,7 +46,7 @@
   /** Logs and counts a failed attempt. */
   void onAttemptFailed(ServerEntry server, Outcome outcome, String reason) {
     context.metrics().attemptsFailed.increment();
-    lastReason = reason;
+    lastFailureReason = reason;
     // Refused connections are frequent while no server of a service is up.
     LOG.atLevel(outcome == Outcome.NOT_RUN ? Level.DEBUG : Level.INFO)
         .addKeyValue("request", call.id())
@@ -55,7 +55,7 @@
         .addKeyValue("server", server.start())
         .addKeyValue("outcome", outcome)
         .addKeyValue("reason", reason)
-        .addKeyValue("afterMillis", context.now() - beganAtMillis)
+        .addKeyValue("afterMillis", context.now() - startedAtMillis)
         .log("request: attempt failed");
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Logs that no further attempt is made. */
-  void onGivenUp(ForwardOutcome outcome, int attempts, String reason) {
+  void onFailed(ForwardOutcome outcome, int attempts, String reason) {
     LOG.atInfo()
         .addKeyValue("request", call.id())
         .addKeyValue("route", route.name())
@@ -76,8 +76,8 @@
         .addKeyValue("attempts", attempts)
         .addKeyValue("outcome", outcome.getClass().getSimpleName())
         .addKeyValue("reason", reason)
-        .addKeyValue("lastAttempt", lastReason)
-        .addKeyValue("tookMillis", context.now() - beganAtMillis)
+        .addKeyValue("lastAttempt", lastFailureReason)
+        .addKeyValue("tookMillis", context.now() - startedAtMillis)
         .log("request: given up");
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -16,45 +16,46 @@
  */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-  private static final int NEAR_NODES_ENOUGH = 2;
-  private static final int MOST_ADDRESSES = 64;
+  private static final int MIN_NEAR_NODES = 2;
+  private static final int MAX_ADDRESSES = 64;
 
   /** Batches reads of server entries on nodes that run no jobs. */
-  private static final long IDLE_SERVERS_PAUSE_MILLIS = 400;
+  private static final long IDLE_SERVER_READ_PAUSE_MILLIS = 400;
 
   /** Pause between reads of heartbeats on nodes that run jobs and must detect failures quickly. */
-  private static final long RUNNER_BEATS_PAUSE_MILLIS = 250;
+  private static final long RUNNER_HEARTBEAT_READ_PAUSE_MILLIS = 250;
 
   /** Pause between reads of heartbeats on nodes that callers recently asked for addresses. */
-  private static final long ASKED_BEATS_PAUSE_MILLIS = 500;
+  private static final long DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS = 500;
 
   /** Pause between reads of heartbeats on all other nodes. */
-  private static final long IDLE_BEATS_PAUSE_MILLIS = 1_000;
+  private static final long IDLE_HEARTBEAT_READ_PAUSE_MILLIS = 1_000;
 
   /** Time after a request for addresses in which another one is expected. */
-  private static final long ASKED_MILLIS = 5_000;
+  private static final long DISCOVERY_ACTIVE_MILLIS = 5_000;
 
   /** Delay after which jobs are followed even if the heartbeats of other nodes are unreadable. */
-  private static final long FOLLOW_ANYWAY_MILLIS = 1_500;
+  private static final long FOLLOW_JOBS_DELAY_MILLIS = 1_500;
 
   private final GatewayContext context;
   private final MemberAgent members;
   private final Directory directory;
   private final CrashLog crashes;
   private final RequestForwarder forwarder;
-  private final JobLog log;
+  private final JobLog jobLog;
   private final JobService jobs;
   private final JobRunner runner;
   private final DutyAgent duties;
   private final Optional<UsageMeter> meter;
-  private long askedAtMillis = Long.MIN_VALUE / 2;
+  private long lastDiscoveryMillis = Long.MIN_VALUE / 2;
   private boolean stopping;
 
   /** Creates a node; {@link #start} starts its work. */
   public Gateway(GatewayContext given) {
     this.context = Objects.requireNonNull(given, "context").watched();
-    this.log = new JobLog(context);
-    this.directory = new Directory(context, () -> log.isRunner() ? 0 : IDLE_SERVERS_PAUSE_MILLIS);
+    this.jobLog = new JobLog(context);
+    this.directory =
+        new Directory(context, () -> jobLog.isRunner() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
     this.crashes = new CrashLog(context, directory);
     this.meter =
         context.settings().usage().map(usage -> new UsageMeter(context, usage, this::liveNodes));
@@ -62,17 +63,21 @@
         new RequestForwarder(
             context,
             directory,
-            this::takingNodes,
+            this::acceptingNodes,
             crashes,
-            (tenant, sentAt) -> meter.ifPresent(counting -> counting.onBegan(tenant, sentAt)));
+            (tenant, sentAtMillis) ->
+                meter.ifPresent(usageMeter -> usageMeter.onBegan(tenant, sentAtMillis)));
     this.members =
         new MemberAgent(
-            context, forwarder::requestsPerSecond, this::isDependedOn, this::beatsPauseMillis);
-    this.jobs = new JobService(context, log);
-    this.runner = new JobRunner(context, directory, members, log, forwarder, crashes);
-    this.duties = new DutyAgent(context, members, log);
-    new OrderAgent(context, directory, log, duties);
-    meter.ifPresent(counting -> new UsageReporter(context, duties, counting));
+            context,
+            forwarder::requestsPerSecond,
+            this::isDependedOn,
+            this::heartbeatReadPauseMillis);
+    this.jobs = new JobService(context, jobLog);
+    this.runner = new JobRunner(context, directory, members, jobLog, forwarder, crashes);
+    this.duties = new DutyAgent(context, members, jobLog);
+    new VersionOrderDuty(context, directory, jobLog, duties);
+    meter.ifPresent(usageMeter -> new UsageReporter(context, duties, usageMeter));
   }
 
   /** Starts following the log and the tables, and running jobs and duties. */
@@ -84,12 +89,12 @@
         .log("node: starts");
     directory.start();
     crashes.start();
-    members.start(() -> log.start(members.beats()), log::startSooner);
-    context.timers().after(FOLLOW_ANYWAY_MILLIS, () -> log.start(members.beats()));
+    members.start(() -> jobLog.start(members.beats()), jobLog::startSooner);
+    context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.beats()));
     members.whenClocksParted(this::renewReads);
-    log.addOwnerListener(members::hurry);
-    log.addOwnerListener(directory::hurry);
-    context.metrics().showPartitionsBehind(log);
+    jobLog.addOwnerListener(members::hurry);
+    jobLog.addOwnerListener(directory::endReadPause);
+    context.metrics().showPartitionsBehind(jobLog);
     context.metrics().showConfigurationAge(directory);
     runner.start();
     duties.start();
@@ -105,19 +110,19 @@
 
   /** Returns whether a failure of this node must be detected quickly. */
   private boolean isDependedOn() {
-    return log.isRunner()
+    return jobLog.isRunner()
         || duties.isHolder()
-        || log.isCalled()
+        || jobLog.isCalled()
         || forwarder.requestsPerSecond() > 0
-        || namedFor(context.settings().zone()).contains(context.settings().address());
+        || announcedAddressesFor(context.settings().zone()).contains(context.settings().address());
   }
 
-  private long beatsPauseMillis() {
-    if (log.isRunner() || log.isNextRunner() || members.isFresh()) {
-      return RUNNER_BEATS_PAUSE_MILLIS;
+  private long heartbeatReadPauseMillis() {
+    if (jobLog.isRunner() || jobLog.isNextRunner() || members.hasJustStarted()) {
+      return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
-    boolean isAsked = context.now() - askedAtMillis < ASKED_MILLIS;
-    return isAsked ? ASKED_BEATS_PAUSE_MILLIS : IDLE_BEATS_PAUSE_MILLIS;
+    boolean isAsked = context.now() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
+    return isAsked ? DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS : IDLE_HEARTBEAT_READ_PAUSE_MILLIS;
   }
 
   /** Returns whether this node accepts new work. */
@@ -169,11 +174,11 @@
    * node. Callers cache the answer, so a node returns none before it knows which nodes are alive.
    */
   public List<String> addressesFor(String zone) {
-    askedAtMillis = context.now();
+    lastDiscoveryMillis = context.now();
     if (members.isLivenessUnknown()) {
       return List.of();
     }
-    List<String> known = namedFor(zone);
+    List<String> known = announcedAddressesFor(zone);
     if (known.isEmpty() && isReady()) {
       return List.of(context.settings().address());
     }
@@ -181,15 +186,15 @@
   }
 
   private int liveNodes() {
-    return takingNodes().size();
+    return acceptingNodes().size();
   }
 
-  private List<MemberBeat> takingNodes() {
+  private List<MemberBeat> acceptingNodes() {
     return members.beats().taking();
   }
 
-  private List<String> namedFor(String zone) {
-    return members.beats().addressesFor(zone, NEAR_NODES_ENOUGH, MOST_ADDRESSES);
+  private List<String> announcedAddressesFor(String zone) {
+    return members.beats().addressesFor(zone, MIN_NEAR_NODES, MAX_ADDRESSES);
   }
 
   /**
@@ -207,7 +212,7 @@
         .log("node: leaves");
     stopping = true;
     duties.stop();
-    forwarder.admission().stop();
+    forwarder.admission().drain();
     // Generated texts must be in the log before the heartbeat makes other nodes take over.
     return runner.leave().invoke(members::announceLeaving);
   }
@@ -219,8 +224,8 @@
 
   /** Ends a planned stop: stops all work and completes when the process may exit. */
   public Uni<Void> end() {
-    forwarder.admission().end();
-    Uni<Void> counted = meter.map(UsageMeter::tell).orElse(Uni.createFrom().voidItem());
-    return Uni.join().all(runner.stop(), counted).andCollectFailures().replaceWithVoid();
+    forwarder.admission().close();
+    Uni<Void> usagePublished = meter.map(UsageMeter::publish).orElse(Uni.createFrom().voidItem());
+    return Uni.join().all(runner.stop(), usagePublished).andCollectFailures().replaceWithVoid();
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -17,9 +17,9 @@
 
 /** Counters and latency histograms of a gateway node, named as docs/OPERATIONS.md lists them. */
 public final class GatewayMetrics {
-  private static final String REJECTED = "passhaven.gateway.requests.rejected";
-  private static final String MOVED = "passhaven.gateway.generations.moved";
-  private static final double MILLIS_A_SECOND = 1_000;
+  private static final String REJECTED_METRIC = "passhaven.gateway.requests.rejected";
+  private static final String MOVED_METRIC = "passhaven.gateway.generations.moved";
+  private static final double MILLIS_PER_SECOND = 1_000;
   private static final Duration[] LATENCY_BOUNDS = {
     Duration.ofMillis(25),
     Duration.ofMillis(50),
@@ -123,18 +123,18 @@
     generationsBegun = registry.counter("passhaven.gateway.generations.begun");
     generationsFailed = registry.counter("passhaven.gateway.generations.failed");
     generationsRefused = registry.counter("passhaven.gateway.generations.refused");
-    movesFromSlowServers = registry.counter(MOVED, "reason", "slow-server");
-    movesOfStalled = registry.counter(MOVED, "reason", "stalled");
+    movesFromSlowServers = registry.counter(MOVED_METRIC, "reason", "slow-server");
+    movesOfStalled = registry.counter(MOVED_METRIC, "reason", "stalled");
     generationsStopped = registry.counter("passhaven.gateway.generations.stopped");
     resultsListed = registry.counter("passhaven.gateway.results.listed");
     appendsRepeated = registry.counter("passhaven.gateway.appends.repeated");
     serversEndedUnderRequests = registry.counter("passhaven.gateway.servers.ended.under.requests");
     requestsHeldBack = registry.counter("passhaven.gateway.requests.held.back");
     documentsUnreadable = registry.counter("passhaven.gateway.documents.unreadable");
-    requestsWithoutKey = registry.counter(REJECTED, "reason", "no-key");
-    requestsWithUnknownKey = registry.counter(REJECTED, "reason", "unknown-key");
-    requestsWithoutRoute = registry.counter(REJECTED, "reason", "no-route");
-    requestsUnsure = registry.counter(REJECTED, "reason", "unsure");
+    requestsWithoutKey = registry.counter(REJECTED_METRIC, "reason", "no-key");
+    requestsWithUnknownKey = registry.counter(REJECTED_METRIC, "reason", "unknown-key");
+    requestsWithoutRoute = registry.counter(REJECTED_METRIC, "reason", "no-route");
+    requestsUnsure = registry.counter(REJECTED_METRIC, "reason", "unsure");
     fleetLosses = registry.counter("passhaven.gateway.fleet.losses");
     leaseChanges = registry.counter("passhaven.gateway.lease.changes");
     windowsReported = registry.counter("passhaven.gateway.usage.reports", "outcome", "done");
@@ -159,7 +159,7 @@
         directory,
         known -> {
           OptionalLong millis = known.configurationAgeMillis();
-          return millis.isPresent() ? millis.getAsLong() / MILLIS_A_SECOND : Double.NaN;
+          return millis.isPresent() ? millis.getAsLong() / MILLIS_PER_SECOND : Double.NaN;
         });
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/MemberAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MemberAgent.java
@@ -27,39 +27,39 @@
   private static final String STREAM = "members.0";
 
   /** Time after the start in which a node sends heartbeats at the short period. */
-  private static final long FRESH_MILLIS = 5_000;
+  private static final long STARTUP_MILLIS = 5_000;
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
   private static final long HISTORY_RECORDS = 64;
   private static final long SETTLE_MILLIS = 1_100;
-  private static final long FIRST_BEAT_PAUSE_MILLIS = 100;
+  private static final long FIRST_HEARTBEAT_RETRY_MILLIS = 100;
   private final GatewayContext context;
   private final DoubleSupplier requestsPerSecond;
   private final BooleanSupplier isDependedOn;
   private final BeatTable beats;
   private final LogTail tail;
-  private boolean tailing;
-  private boolean beating;
-  private boolean taking = true;
-  private long beganAt;
-  private long startedAt;
-  private long beatAt = NEVER;
-  private long beatPeriodMillis;
-  private long ownBeatReadAt = NEVER;
-  private long ownBeatsRead;
+  private boolean isFollowing;
+  private boolean isHeartbeatInFlight;
+  private boolean isAccepting = true;
+  private long startedAtMillis;
+  private long firstWrittenAtMillis;
+  private long lastHeartbeatSentMillis = NEVER_MILLIS;
+  private long announcedPeriodMillis;
+  private long lastOwnReadMillis = NEVER_MILLIS;
+  private long ownHeartbeatsRead;
 
   /** Offset of the first heartbeat that was sent after the last clock jump and written. */
-  private long ownBeatsCountFrom;
+  private long firstOffsetAfterJump;
 
-  private long clockGapsSeen;
-  private long clockGapsAtAppend;
-  private List<String> lastTaking = List.of();
+  private long knownClockJumps;
+  private long clockJumpsAtAppend;
+  private List<String> lastLoggedNodes = List.of();
   private boolean isFleetLost;
-  private Runnable whenFollowing = () -> {};
-  private Runnable whenFleetLost = () -> {};
+  private Runnable followingCallback = () -> {};
+  private Runnable fleetLostCallback = () -> {};
   private Runnable whenClocksParted = () -> {};
   private Supplier<List<ServerUse>> serverUse = List::of;
-  private Consumer<MemberBeat> onOthersBeat = beat -> {};
+  private Consumer<MemberBeat> otherHeartbeatConsumer = heartbeat -> {};
 
   /**
    * Creates an agent; {@link #start} begins its work.
@@ -78,7 +78,8 @@
     this.isDependedOn = Objects.requireNonNull(isDependedOn, "isDependedOn");
     this.beats = new BeatTable(context.settings().silence().toMillis());
     this.tail =
-        new LogTail(context.log(), context.timers(), STREAM, betweenReadsMillis, new BeatReader());
+        new LogTail(
+            context.log(), context.timers(), STREAM, betweenReadsMillis, new HeartbeatReader());
   }
 
   /**
@@ -89,10 +90,10 @@
    * @param onFleetLost called once if nearly all of the earlier nodes turn out to be dead
    */
   public void start(Runnable onFollowing, Runnable onFleetLost) {
-    whenFollowing = Objects.requireNonNull(onFollowing, "onFollowing");
-    whenFleetLost = Objects.requireNonNull(onFleetLost, "onFleetLost");
-    beganAt = context.now();
-    beat();
+    followingCallback = Objects.requireNonNull(onFollowing, "onFollowing");
+    fleetLostCallback = Objects.requireNonNull(onFleetLost, "onFleetLost");
+    startedAtMillis = context.now();
+    sendIfDue();
   }
 
   /** Sets the task that runs after a clock jump, when pending reads may never complete. */
@@ -108,13 +109,13 @@
    */
   void shareServerUse(Supplier<List<ServerUse>> own, Consumer<MemberBeat> others) {
     serverUse = Objects.requireNonNull(own, "own");
-    onOthersBeat = Objects.requireNonNull(others, "others");
+    otherHeartbeatConsumer = Objects.requireNonNull(others, "others");
   }
 
   /** Shortens the heartbeat period and ends the read pause when others start to depend on it. */
   void hurry() {
-    if (periodMillis() < beatPeriodMillis) {
-      beat();
+    if (currentPeriodMillis() < announcedPeriodMillis) {
+      sendIfDue();
     }
     tail.hurry();
   }
@@ -126,7 +127,7 @@
 
   /** Returns whether a recent heartbeat of this node was written and read back. */
   public boolean isInTouch() {
-    return now() - ownBeatReadAt < beats.silenceMillis(beatPeriodMillis);
+    return now() - lastOwnReadMillis < beats.silenceMillis(announcedPeriodMillis);
   }
 
   /**
@@ -135,12 +136,12 @@
    */
   private long now() {
     long now = context.now();
-    long gaps = context.timers().clockGaps().count();
-    if (gaps != clockGapsSeen) {
-      clockGapsSeen = gaps;
-      ownBeatReadAt = NEVER;
-      ownBeatsCountFrom = Long.MAX_VALUE;
-      beatAt = NEVER;
+    long jumps = context.timers().clockGaps().count();
+    if (jumps != knownClockJumps) {
+      knownClockJumps = jumps;
+      lastOwnReadMillis = NEVER_MILLIS;
+      firstOffsetAfterJump = Long.MAX_VALUE;
+      lastHeartbeatSentMillis = NEVER_MILLIS;
       tail.renew();
       whenClocksParted.run();
     }
@@ -152,7 +153,7 @@
     if (isFleetLost) {
       return isInTouch();
     }
-    return tailing && isInTouch() && context.now() - startedAt >= SETTLE_MILLIS;
+    return isFollowing && isInTouch() && context.now() - firstWrittenAtMillis >= SETTLE_MILLIS;
   }
 
   /**
@@ -161,133 +162,135 @@
    * after a timeout.
    */
   boolean isLivenessUnknown() {
-    return tailing
+    return isFollowing
         && !isFleetLost
-        && ownBeatsRead < 2
-        && context.now() - startedAt < SETTLE_MILLIS
+        && ownHeartbeatsRead < 2
+        && context.now() - firstWrittenAtMillis < SETTLE_MILLIS
         && beats.isLossDetectable();
   }
 
   /** Announces in a heartbeat that this node accepts no new work. */
   public void announceLeaving() {
-    taking = false;
+    isAccepting = false;
     append();
   }
 
   /** Sends a heartbeat if one is due and none is in flight, so as not to overload a slow log. */
-  private void beat() {
-    long period = periodMillis();
+  private void sendIfDue() {
+    long period = currentPeriodMillis();
     // The other nodes rely on the period announced by the last heartbeat if it is shorter.
     boolean isDue =
-        now() - beatAt >= Math.min(period, beatPeriodMillis) || period < beatPeriodMillis;
-    if (!beating && (isDue || !tailing)) {
+        now() - lastHeartbeatSentMillis >= Math.min(period, announcedPeriodMillis)
+            || period < announcedPeriodMillis;
+    if (!isHeartbeatInFlight && (isDue || !isFollowing)) {
       append();
     }
   }
 
-  private long periodMillis() {
-    return isFresh() || isDependedOn.getAsBoolean()
+  private long currentPeriodMillis() {
+    return hasJustStarted() || isDependedOn.getAsBoolean()
         ? context.settings().beat().toMillis()
         : BeatPace.idleMillis(beats.taking().size());
   }
 
   private void append() {
-    beating = true;
-    beatAt = now();
-    clockGapsAtAppend = clockGapsSeen;
-    beatPeriodMillis = periodMillis();
+    isHeartbeatInFlight = true;
+    lastHeartbeatSentMillis = now();
+    clockJumpsAtAppend = knownClockJumps;
+    announcedPeriodMillis = currentPeriodMillis();
     GatewaySettings settings = context.settings();
-    MemberBeat beat =
+    MemberBeat heartbeat =
         new MemberBeat(
             settings.node(),
             settings.address(),
             settings.zone(),
             context.incarnation(),
-            taking,
+            isAccepting,
             requestsPerSecond.getAsDouble(),
-            beatPeriodMillis,
+            announcedPeriodMillis,
             settings.cores(),
             inLogMillis(),
             serverUse.get());
     context
         .log()
-        .append(STREAM, List.of(Codec.encode(beat)))
+        .append(STREAM, List.of(Codec.encode(heartbeat)))
         .subscribe()
-        .with(this::onAppended, this::onBeatFailed);
+        .with(this::onAppended, this::onAppendFailed);
   }
 
   /** Returns this node's time in the log, measured from the write of its first heartbeat. */
   private long inLogMillis() {
-    return MemberBeat.FIRST_IN_LOG_MILLIS + (tailing ? context.now() - startedAt : 0);
+    return MemberBeat.FIRST_IN_LOG_MILLIS
+        + (isFollowing ? context.now() - firstWrittenAtMillis : 0);
   }
 
   private void onAppended(long offset) {
-    beating = false;
-    noteWritten(offset);
-    if (tailing && context.now() - startedAt < SETTLE_MILLIS) {
+    isHeartbeatInFlight = false;
+    recordWritten(offset);
+    if (isFollowing && context.now() - firstWrittenAtMillis < SETTLE_MILLIS) {
       // A starting node needs its own heartbeat back to know whether the others are alive.
       tail.hurry();
     }
-    if (!tailing) {
-      tailing = true;
-      startedAt = context.now();
+    if (!isFollowing) {
+      isFollowing = true;
+      firstWrittenAtMillis = context.now();
       // Starts the period now: by the next heartbeat each live node has sent one as well.
-      context.timers().every(context.settings().beat().toMillis(), this::beat);
+      context.timers().every(context.settings().beat().toMillis(), this::sendIfDue);
       // Reads recent heartbeats first, to find the other nodes at once.
       tail.start(Math.max(0, offset - HISTORY_RECORDS));
     }
   }
 
-  private void noteWritten(long offset) {
-    boolean isSentSinceGap = clockGapsAtAppend == context.timers().clockGaps().count();
-    if (ownBeatsCountFrom == Long.MAX_VALUE && isSentSinceGap) {
-      ownBeatsCountFrom = offset;
+  private void recordWritten(long offset) {
+    boolean isSentSinceJump = clockJumpsAtAppend == context.timers().clockGaps().count();
+    if (firstOffsetAfterJump == Long.MAX_VALUE && isSentSinceJump) {
+      firstOffsetAfterJump = offset;
       if (tail.position() > offset) {
-        ownBeatReadAt = context.now();
+        lastOwnReadMillis = context.now();
       }
     }
   }
 
-  private void onBeatFailed(Throwable failure) {
-    beating = false;
+  private void onAppendFailed(Throwable failure) {
+    isHeartbeatInFlight = false;
     LOG.debug(
         "members: a heartbeat could not be written: {}",
         PlatformException.from(failure).getMessage());
-    if (!tailing) {
+    if (!isFollowing) {
       // A node that can't write can still read the log, without knowing the other nodes.
-      whenFollowing.run();
-      context.timers().after(FIRST_BEAT_PAUSE_MILLIS, this::beat);
+      followingCallback.run();
+      context.timers().after(FIRST_HEARTBEAT_RETRY_MILLIS, this::sendIfDue);
     }
   }
 
   private void onRecord(byte[] record) {
     try {
-      MemberBeat beat = Codec.decode(record, MemberBeat.class);
+      MemberBeat heartbeat = Codec.decode(record, MemberBeat.class);
       boolean isOwn =
-          beat.node().equals(context.settings().node())
-              && beat.incarnation() == context.incarnation();
-      beats.onBeat(beat, context.now());
+          heartbeat.node().equals(context.settings().node())
+              && heartbeat.incarnation() == context.incarnation();
+      beats.onBeat(heartbeat, context.now());
       if (isOwn) {
-        onOwnBeatRead();
+        onOwnHeartbeatRead();
       } else if (tail.isCaughtUp()) {
-        onOthersBeat.accept(beat);
+        otherHeartbeatConsumer.accept(heartbeat);
       }
     } catch (CodecException e) {
       LOG.warn("members: a record can't be read: {}", e.getMessage());
     }
   }
 
-  private void onOwnBeatRead() {
+  private void onOwnHeartbeatRead() {
     long now = now();
-    ownBeatsRead++;
-    if (tail.position() > ownBeatsCountFrom) {
-      ownBeatReadAt = now;
+    ownHeartbeatsRead++;
+    if (tail.position() > firstOffsetAfterJump) {
+      lastOwnReadMillis = now;
     }
   }
 
   /** Forgets a lost fleet, so that its old heartbeats in the log delay no takeover. */
-  private void noteFleetLost() {
-    if (isFleetLost || !tail.isCaughtUp() || !isFresh()) {
+  private void detectFleetLoss() {
+    if (isFleetLost || !tail.isCaughtUp() || !hasJustStarted()) {
       return;
     }
     if (beats.isFleetLost()) {
@@ -299,19 +302,19 @@
           .addKeyValue("before", before)
           .addKeyValue("live", beats.taking().size())
           .log("members: the fleet was lost");
-      whenFleetLost.run();
+      fleetLostCallback.run();
     }
   }
 
   /** Returns whether this node has just started. */
-  boolean isFresh() {
-    return context.now() - beganAt < FRESH_MILLIS;
+  boolean hasJustStarted() {
+    return context.now() - startedAtMillis < STARTUP_MILLIS;
   }
 
   private void logChange() {
     List<String> now = beats.taking().stream().map(MemberBeat::node).toList();
-    if (tail.isCaughtUp() && !now.equals(lastTaking)) {
-      lastTaking = now;
+    if (tail.isCaughtUp() && !now.equals(lastLoggedNodes)) {
+      lastLoggedNodes = now;
       LOG.atInfo()
           .addKeyValue("live", now.size())
           .addKeyValue("nodes", now)
@@ -320,10 +323,10 @@
   }
 
   /** Processes heartbeats; membership changes are logged once per batch. */
-  private final class BeatReader implements LogTail.Listener {
+  private final class HeartbeatReader implements LogTail.Listener {
     @Override
     public void onCaughtUp() {
-      whenFollowing.run();
+      followingCallback.run();
     }
 
     @Override
@@ -338,7 +341,7 @@
 
     @Override
     public void onBatchEnd() {
-      noteFleetLost();
+      detectFleetLoss();
       logChange();
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -45,74 +45,74 @@
    * Receives the decision on a request. Exactly one method is called, once, unless the slot is
    * released before.
    */
-  interface PlaceListener {
+  interface SlotListener {
     /** Called when the request may be sent. */
-    void onSend();
+    void onAdmitted();
 
     /** Called when the request must not be sent, since it can't be served in time. */
-    void onReject(Reject verdict);
+    void onRejected(Reject verdict);
   }
 
-  /** Creates the slot of a request, which {@link Place#ask} then requests. */
-  Place place(Route route, Call call, String service, Source source, long deadlineMillis) {
+  /** Creates the slot of a request, which {@link Slot#acquire} then requests. */
+  Slot newSlot(Route route, Call call, String service, Source source, long deadlineMillis) {
     int priority = directory.routes().tenants().priorityOf(call.tenant()).orElse(route.priority());
     AdmissionRequest request =
         new AdmissionRequest(
             nextId++, service, route.name(), call.tenant(), source, priority, deadlineMillis);
-    return new Place(services.computeIfAbsent(service, Service::new), request, call.id());
+    return new Slot(services.computeIfAbsent(service, Service::new), request, call.id());
   }
 
   private void onServersChanged() {
-    known().forEach(Service::onServers);
+    knownServices().forEach(Service::updateServers);
   }
 
   /** Returns a copy, since a listener may add a service during the iteration. */
-  private List<Service> known() {
+  private List<Service> knownServices() {
     return List.copyOf(services.values());
   }
 
   /** Begins a planned stop: queued requests are sent or rejected soon. */
-  void stop() {
+  void drain() {
     stopping = true;
     services.values().forEach(service -> service.admission.stop(context.now()));
   }
 
   /** Rejects all queued requests, at the end of a planned stop. */
-  void end() {
-    known().forEach(service -> service.apply(service.admission.end(context.now())));
+  void close() {
+    knownServices().forEach(service -> service.apply(service.admission.end(context.now())));
   }
 
   /** The slot of one request at a service; must be released when the request is over. */
-  final class Place {
+  final class Slot {
     private final Service service;
     private final AdmissionRequest request;
     private final String id;
-    private PlaceListener listener;
+    private SlotListener listener;
     private Reject rejected;
 
-    private Place(Service service, AdmissionRequest request, String id) {
+    private Slot(Service service, AdmissionRequest request, String id) {
       this.service = service;
       this.request = request;
       this.id = id;
     }
 
     /** Requests the slot; the decision may come later. */
-    void ask(PlaceListener placeListener) {
-      listener = placeListener;
-      service.places.put(request.id(), this);
+    void acquire(SlotListener slotListener) {
+      listener = slotListener;
+      service.slots.put(request.id(), this);
       AdmissionVerdict verdict = service.admission.offer(request, context.now());
       if (verdict instanceof AdmissionVerdict.Wait) {
-        onWaits();
+        onQueued();
       } else {
         apply(verdict);
       }
     }
 
-    private void onWaits() {
+    private void onQueued() {
       long now = context.now();
       context.metrics().requestsWaited.increment();
       double waitMillis = service.admission.expectedWaitMillis(request, now);
-      log.onWaits(id, request, service.admission.load(now), waitMillis);
+      log.onQueued(id, request, service.admission.load(now), waitMillis);
       service.dispatch();
       service.sweepLater();
     }
@@ -123,9 +123,9 @@
         long now = context.now();
         context.metrics().onRejected(reject.reason());
         log.onRejected(id, request, service.admission.load(now), reject, now);
-        listener.onReject(reject);
+        listener.onRejected(reject);
       } else {
-        listener.onSend();
+        listener.onAdmitted();
       }
     }
 
@@ -148,7 +148,7 @@
 
     /** Releases the slot when the request is over or its caller has disconnected. */
     void release() {
-      if (service.places.remove(request.id()) != null) {
+      if (service.slots.remove(request.id()) != null) {
         service.admission.onEnded(request);
         service.dispatch();
       }
@@ -160,7 +160,7 @@
     private final String name;
     private final ServiceAdmission admission =
         new ServiceAdmission(context.randomBelow(), context.now());
-    private final Map<Long, Place> places = new HashMap<>();
+    private final Map<Long, Slot> slots = new HashMap<>();
     private boolean isSweeping;
     private boolean isDispatching;
     private boolean isDispatchDue;
@@ -171,10 +171,10 @@
       if (stopping) {
         admission.stop(context.now());
       }
-      onServers();
+      updateServers();
     }
 
-    void onServers() {
+    void updateServers() {
       List<ServerEntry> servers = candidates.apply(name);
       int slots = servers.stream().mapToInt(ServerEntry::slots).sum();
       admission.onServers(servers.size(), slots, context.now());
@@ -203,9 +203,9 @@
 
     void apply(List<Change> changes) {
       for (Change change : changes) {
-        Place place = places.get(change.request().id());
-        if (place != null) {
-          place.apply(change.verdict());
+        Slot slot = slots.get(change.request().id());
+        if (slot != null) {
+          slot.apply(change.verdict());
         }
       }
     }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -30,8 +30,8 @@
   /** Backoff after an attempt that no server ran. */
   private static final long RETRY_PAUSE_MILLIS = 10;
 
-  private static final int FIRST_SERVER_ERROR = 500;
-  private static final int MISDIRECTED = 421;
+  private static final int MIN_SERVER_ERROR_STATUS = 500;
+  private static final int MISDIRECTED_STATUS = 421;
 
   /** Time for which a server that answered 421 (Misdirected Request) is avoided. */
   private static final long MISDIRECTED_AVOIDED_MILLIS = 1_000;
@@ -39,7 +39,7 @@
   /** Time for which a server at its capacity is avoided. */
   private static final long FULL_AVOIDED_MILLIS = 50;
 
-  private static final String HELD_BACK = "servers have ended under it";
+  private static final String HELD_BACK_REASON = "servers have ended under it";
   private final GatewayContext context;
   private final Directory directory;
   private final CrashLog crashes;
@@ -47,8 +47,8 @@
   private final ServerHealth health = new ServerHealth();
   private final ServerCandidates candidates;
   private final RequestAdmission admission;
-  private final RateMeter rate;
-  private final RunListener runs;
+  private final RateMeter requestRate;
+  private final RunListener runListener;
   private int inProgress;
 
   /** Receives the requests that servers began to run. */
@@ -67,15 +67,15 @@
       Directory directory,
       Supplier<List<MemberBeat>> liveNodes,
       CrashLog crashes,
-      RunListener runs) {
-    this.runs = Objects.requireNonNull(runs, "runs");
+      RunListener runListener) {
+    this.runListener = Objects.requireNonNull(runListener, "runListener");
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.crashes = Objects.requireNonNull(crashes, "crashes");
     this.rotation = new ShareRotation(context.randomBelow());
     this.candidates = new ServerCandidates(context, directory, health, liveNodes);
     this.admission = new RequestAdmission(context, directory, directory.servers()::readyOf);
-    this.rate = new RateMeter(context.now());
+    this.requestRate = new RateMeter(context.now());
     directory.addListener(
         () ->
             health.retain(
@@ -86,7 +86,7 @@
 
   /** Returns the recent rate of requests per second. */
   public double requestsPerSecond() {
-    return rate.perSecond(context.now());
+    return requestRate.perSecond(context.now());
   }
 
   /** Returns the number of requests in flight. */
@@ -109,7 +109,7 @@
             emitter -> {
               Forward forward = new Forward(route, call, source, emitter);
               emitter.onTermination(forward::cancel);
-              forward.begin();
+              forward.start();
             });
   }
 
@@ -118,59 +118,60 @@
     return admission;
   }
 
-  private final class Forward implements RequestAdmission.PlaceListener, ForwardAttempts.Listener {
+  private final class Forward implements RequestAdmission.SlotListener, ForwardAttempts.Listener {
     private final Call call;
     private final UniEmitter<? super ForwardOutcome> emitter;
     private final ForwardPlan plan;
-    private final ForwardGate gate;
+    private final CrashGuard crashGuard;
     private final String service;
-    private final RequestAdmission.Place place;
-    private final long beganAt = context.now();
-    private final long lostAtBegin = lostMillis();
+    private final RequestAdmission.Slot slot;
+    private final long startedAtMillis = context.now();
+    private final long lostAtStartMillis = lostToClockJumpsMillis();
     private final ForwardAttempts attempts;
     private final ForwardLog log;
-    private Timers.Timer deadline;
-    private boolean hasBegun;
+    private Timers.Timer deadlineTimer;
+    private boolean isReportedAsRun;
     private boolean done;
 
     Forward(Route route, Call call, Source source, UniEmitter<? super ForwardOutcome> emitter) {
       this.call = call;
       this.emitter = emitter;
-      this.plan = new ForwardPlan(route, beganAt + call.deadlineMillis());
-      this.gate = new ForwardGate(crashes, call);
+      this.plan = new ForwardPlan(route, startedAtMillis + call.deadlineMillis());
+      this.crashGuard = new CrashGuard(crashes, call);
       this.service = rotation.next(route);
-      this.place = admission.place(route, call, service, source, plan.deadlineMillis());
+      this.slot = admission.newSlot(route, call, service, source, plan.deadlineMillis());
       this.attempts = new ForwardAttempts(context, health, call, plan, this);
-      this.log = new ForwardLog(context, directory, route, call, service, beganAt);
+      this.log = new ForwardLog(context, directory, route, call, service, startedAtMillis);
     }
 
-    void begin() {
+    void start() {
       inProgress++;
-      rate.mark(context.now());
-      deadline = context.timers().after(call.deadlineMillis(), this::onDeadline);
-      place.ask(this);
+      requestRate.mark(context.now());
+      deadlineTimer = context.timers().after(call.deadlineMillis(), this::onDeadline);
+      slot.acquire(this);
     }
 
     @Override
-    public void onSend() {
+    public void onAdmitted() {
       if (!tryNext()) {
-        giveUpUnsent(plan.hasTimeLeft(context.now()) ? "no server" : "too little time is left");
+        failWithoutServer(
+            plan.hasTimeLeft(context.now()) ? "no server" : "too little time is left");
       }
     }
 
     @Override
-    public void onReject(Reject verdict) {
-      giveUp(verdict.reason().text());
+    public void onRejected(Reject verdict) {
+      fail(verdict.reason().text());
     }
 
     /** Sends the request to the next server; returns false if no attempt is in progress. */
     private boolean tryNext() {
-      if (done || gate.isClaiming()) {
+      if (done || crashGuard.isClaiming()) {
         return true;
       }
-      noteTimeLost();
-      if (!gate.mayRun(plan.inProgress() > 0, this::onTrialClaimed)) {
-        return gate.isClaiming() || plan.inProgress() > 0;
+      updateTimeLost();
+      if (!crashGuard.mayRun(plan.inProgress() > 0, this::onTrialClaimed)) {
+        return crashGuard.isClaiming() || plan.inProgress() > 0;
       }
       List<ServerEntry> servers = candidates.of(service, plan);
       Optional<ServerEntry> server = plan.next(servers, candidates.picker(), context.now());
@@ -181,56 +182,56 @@
       return true;
     }
 
-    private void noteTimeLost() {
-      plan.onTimeLost(lostMillis() - lostAtBegin);
+    private void updateTimeLost() {
+      plan.onTimeLost(lostToClockJumpsMillis() - lostAtStartMillis);
     }
 
     private void onTrialClaimed() {
       if (done) {
-        gate.close(false);
-      } else if (!gate.isInTrial() || !tryNext()) {
-        giveUpUnsent("no other server");
+        crashGuard.close(false);
+      } else if (!crashGuard.isInTrial() || !tryNext()) {
+        failWithoutServer("no other server");
       }
     }
 
     @Override
-    public void onSilent(ServerEntry server) {
-      log.onSilent(server);
+    public void onHedgeDue(ServerEntry server) {
+      log.onHedgeDue(server);
       tryNext();
     }
 
     @Override
-    public void onAnswer(ServerEntry server, Answer answer, long sentAt) {
+    public void onAnswer(ServerEntry server, Answer answer, long sentAtMillis) {
       long now = context.now();
       Outcome outcome = classify(answer);
       if (outcome != Outcome.NOT_RUN) {
-        noteBegun(sentAt);
+        reportRunOnce(sentAtMillis);
       }
       if (outcome == Outcome.SUCCESS) {
-        health.onSuccess(server.start(), now - sentAt, now);
-        place.onAnswer(now - sentAt);
+        health.onSuccess(server.start(), now - sentAtMillis, now);
+        slot.onAnswer(now - sentAtMillis);
       } else if (outcome == Outcome.NOT_RUN) {
-        onNotRun(server, answer.status() != MISDIRECTED);
+        onNotRun(server, answer.status() != MISDIRECTED_STATUS);
       }
       if (outcome != Outcome.SUCCESS) {
         log.onAttemptFailed(server, outcome, "status " + answer.status());
       }
-      gate.onAnswered(outcome);
-      decide(outcome, answer);
+      crashGuard.onAnswered(outcome);
+      continueAfter(outcome, answer);
     }
 
     private void onNotRun(ServerEntry server, boolean isFull) {
-      long avoided = isFull ? FULL_AVOIDED_MILLIS : MISDIRECTED_AVOIDED_MILLIS;
-      health.avoid(server.start(), avoided, context.now());
+      long avoidedMillis = isFull ? FULL_AVOIDED_MILLIS : MISDIRECTED_AVOIDED_MILLIS;
+      health.avoid(server.start(), avoidedMillis, context.now());
       if (isFull) {
-        place.onFull();
+        slot.onFull();
       }
     }
 
     @Override
-    public void onFailure(ServerEntry server, PlatformException failure, long sentAt) {
+    public void onFailure(ServerEntry server, PlatformException failure, long sentAtMillis) {
       if (failure.kind() == PlatformException.Kind.ANSWER_DROPPED) {
-        onAnswerDropped(server, failure, sentAt);
+        onAnswerDropped(server, failure, sentAtMillis);
         return;
       }
       boolean heldBack = failure.kind() == PlatformException.Kind.HELD_BACK;
@@ -243,88 +244,89 @@
       Outcome outcome = notRun ? Outcome.NOT_RUN : Outcome.UNKNOWN;
       log.onAttemptFailed(server, outcome, failure.getMessage());
       if (notRun) {
-        decide(outcome, null);
+        continueAfter(outcome, null);
         return;
       }
-      noteBegun(sentAt);
-      gate.onBroken(server).subscribe().with(ignored -> decide(outcome, null));
+      reportRunOnce(sentAtMillis);
+      crashGuard.onOutcomeUnknown(server).subscribe().with(ignored -> continueAfter(outcome, null));
     }
 
     /**
      * Fails a request whose answer did not fit into this node's buffers. It is not retried, since
      * the next answer would not fit either.
      */
-    private void onAnswerDropped(ServerEntry server, PlatformException failure, long sentAt) {
+    private void onAnswerDropped(ServerEntry server, PlatformException failure, long sentAtMillis) {
       log.onAttemptFailed(server, Outcome.UNKNOWN, failure.getMessage());
-      noteBegun(sentAt);
-      gate.onAnswered(Outcome.UNKNOWN);
+      reportRunOnce(sentAtMillis);
+      crashGuard.onAnswered(Outcome.UNKNOWN);
       if (!done) {
         plan.onEnded(Outcome.UNKNOWN, context.now());
-        giveUp("no room for the answer");
+        fail("no room for the answer");
       }
     }
 
     /** Reports the request as run, once for all attempts. */
-    private void noteBegun(long sentAtMillis) {
-      if (!hasBegun) {
-        hasBegun = true;
-        runs.onBegan(call.tenant(), sentAtMillis);
+    private void reportRunOnce(long sentAtMillis) {
+      if (!isReportedAsRun) {
+        isReportedAsRun = true;
+        runListener.onBegan(call.tenant(), sentAtMillis);
       }
     }
 
-    private void decide(Outcome outcome, Answer answer) {
+    private void continueAfter(Outcome outcome, Answer answer) {
       if (done) {
         return;
       }
-      noteTimeLost();
+      updateTimeLost();
       switch (plan.onEnded(outcome, context.now())) {
         case DELIVER -> finish(new ForwardOutcome.Answered(answer, plan.serverErrors()));
-        case TRY_NEXT -> context.timers().after(pauseAfter(outcome), this::tryNextOrGiveUp);
-        case GIVE_UP -> giveUp("attempts used up");
+        case TRY_NEXT -> context.timers().after(backoffMillis(outcome), this::tryNextOrFail);
+        case GIVE_UP -> fail("attempts used up");
         case WAIT -> {}
       }
     }
 
-    private long pauseAfter(Outcome outcome) {
+    private long backoffMillis(Outcome outcome) {
       return outcome == Outcome.NOT_RUN ? RETRY_PAUSE_MILLIS : 1;
     }
 
-    private void tryNextOrGiveUp() {
+    private void tryNextOrFail() {
       if (!done && !tryNext()) {
-        giveUpUnsent("no other server");
+        failWithoutServer("no other server");
       }
     }
 
     private void onDeadline() {
       if (!done) {
-        giveUp("time is over");
+        fail("time is over");
       }
     }
 
-    private void giveUpUnsent(String otherwise) {
-      if (gate.isHeld()) {
+    private void failWithoutServer(String otherReason) {
+      if (crashGuard.isHeldBack()) {
         context.metrics().requestsHeldBack.increment();
       }
-      giveUp(gate.isHeld() ? HELD_BACK : otherwise);
+      fail(crashGuard.isHeldBack() ? HELD_BACK_REASON : otherReason);
     }
 
     private long retryAfterMillis() {
-      long untilTrial = gate.isHeld() ? gate.heldUntilMillis() - context.now() : 0;
-      return Math.max(place.retryAfterMillis(), untilTrial);
+      long untilTrialMillis =
+          crashGuard.isHeldBack() ? crashGuard.heldUntilMillis() - context.now() : 0;
+      return Math.max(slot.retryAfterMillis(), untilTrialMillis);
     }
 
-    private void giveUp(String reason) {
+    private void fail(String reason) {
       boolean timedOut = context.now() >= plan.deadlineMillis();
       ForwardOutcome outcome =
           plan.hasSurelyNotRun()
               ? new ForwardOutcome.NotRun(reason, retryAfterMillis())
               : new ForwardOutcome.Unknown(reason, timedOut, plan.serverErrors());
-      log.onGivenUp(outcome, attempts.begun(), reason);
+      log.onFailed(outcome, attempts.attemptsSent(), reason);
       finish(outcome);
     }
 
     private void finish(ForwardOutcome outcome) {
-      context.metrics().onRequest(outcome, context.now() - beganAt);
+      context.metrics().onRequest(outcome, context.now() - startedAtMillis);
       emitter.complete(outcome);
       cancel();
     }
@@ -335,14 +337,14 @@
       }
       done = true;
       inProgress--;
-      gate.close(attempts.isRunning());
-      deadline.cancel();
+      crashGuard.close(attempts.isInProgress());
+      deadlineTimer.cancel();
       attempts.cancel();
-      place.release();
+      slot.release();
     }
   }
 
-  private long lostMillis() {
+  private long lostToClockJumpsMillis() {
     return context.timers().clockGaps().lostMillis();
   }
 
@@ -352,6 +354,6 @@
     } else if (answer.isSuccess()) {
       return Outcome.SUCCESS;
     }
-    return answer.status() >= FIRST_SERVER_ERROR ? Outcome.SERVER_ERROR : Outcome.FINAL;
+    return answer.status() >= MIN_SERVER_ERROR_STATUS ? Outcome.SERVER_ERROR : Outcome.FINAL;
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -30,17 +30,17 @@
   private final Member self;
   private final ServerPicker picker;
   private final Map<String, Service> services = new HashMap<>();
-  private List<MemberBeat> beatsSeen = List.of();
+  private List<MemberBeat> lastHeartbeats = List.of();
   private List<Member> nodes = List.of();
 
   /** The subset of one service, the nodes and servers it was computed from, and its peak use. */
   private static final class Service {
-    final PeakUse use = new PeakUse();
-    int turn;
+    final PeakUse peakUse = new PeakUse();
+    int rotation;
     List<Member> nodes = List.of();
     List<ServerEntry> ready = List.of();
-    ServerSubset formed = new ServerSubset(List.of(), 0);
-    ServerSubset inUse = formed;
+    ServerSubset subset = new ServerSubset(List.of(), 0);
+    ServerSubset activeSubset = subset;
   }
 
   ServerCandidates(
@@ -66,12 +66,12 @@
     Service service = services.computeIfAbsent(name, key -> new Service());
     refresh(name, service);
     long now = context.now();
-    int peak = service.use.mark(inProgress(service) + 1, now);
-    service.inUse = service.formed.forUse(peak, service.turn++);
+    int peak = service.peakUse.mark(inProgress(service) + 1, now);
+    service.activeSubset = service.subset.forUse(peak, service.rotation++);
     List<ServerEntry> servers =
-        service.inUse.candidates(
+        service.activeSubset.candidates(
             server -> !plan.hasTried(server.start()) && picker.isGood(server, service.ready, now));
-    if (servers.size() > service.inUse.size()) {
+    if (servers.size() > service.activeSubset.size()) {
       context.metrics().subsetsWidened.increment();
     }
     return servers;
@@ -89,26 +89,29 @@
     service.nodes = live;
     if (isSameFleet && isSameServers) {
       // Entries change with each weight version, but subsets do not depend on versions.
-      service.formed = service.formed.withEntries(ready);
+      service.subset = service.subset.withEntries(ready);
       return;
     }
     // The first choice changes with the servers, so that a new server gets its share of nodes.
     ServerSubset formed = ServerSubset.of(self, live, ready);
-    service.formed = isSameServers ? formed.keepingFirstOf(service.formed) : formed;
+    service.subset = isSameServers ? formed.keepingFirstOf(service.subset) : formed;
     LOG.atDebug()
         .addKeyValue("service", name)
         .addKeyValue("nodes", live.size())
         .addKeyValue("servers", ready.size())
-        .addKeyValue("size", service.formed.size())
+        .addKeyValue("size", service.subset.size())
         .log("subset: formed");
   }
 
   /** Returns the live nodes, computed once for each list of heartbeats. */
   private List<Member> liveMembers() {
-    List<MemberBeat> beats = liveNodes.get();
-    if (beats != beatsSeen) {
-      beatsSeen = beats;
-      nodes = beats.stream().map(beat -> new Member(beat.node(), beat.zone())).toList();
+    List<MemberBeat> heartbeats = liveNodes.get();
+    if (heartbeats != lastHeartbeats) {
+      lastHeartbeats = heartbeats;
+      nodes =
+          heartbeats.stream()
+              .map(heartbeat -> new Member(heartbeat.node(), heartbeat.zone()))
+              .toList();
     }
     return nodes;
   }
@@ -122,7 +125,7 @@
     Service service = services.get(server.service());
     return server.zone().equals(self.zone())
         || (service != null
-            && service.inUse.isNarrowed()
-            && service.inUse.contains(server.start()));
+            && service.activeSubset.isNarrowed()
+            && service.activeSubset.contains(server.start()));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -18,28 +18,28 @@
   private static final Logger LOG = LoggerFactory.getLogger(ServerUseExchange.class);
 
   /** Limits the size of a heartbeat, which every node reads. */
-  private static final int MAX_SERVERS_PER_BEAT = 32;
+  private static final int MAX_SERVERS_PER_HEARTBEAT = 32;
 
   /** Limits the servers in the reports of all nodes together within one period. */
-  private static final int MAX_SERVERS_OF_ALL = 60;
+  private static final int MAX_SERVERS_ALL_NODES = 60;
 
   /** Minimum time between two log lines about slow servers. */
-  private static final long BETWEEN_LINES_MILLIS = 5_000;
+  private static final long LOG_INTERVAL_MILLIS = 5_000;
 
-  private static final int MAX_NAMED = 8;
+  private static final int MAX_SERVERS_PER_LINE = 8;
 
   private final GatewayContext context;
   private final JobLog log;
   private final ServerView view;
-  private Set<ServerStart> slowBefore = Set.of();
-  private long nextLineAtMillis;
+  private Set<ServerStart> lastLoggedSlowServers = Set.of();
+  private long nextLogLineMillis;
 
   /** Creates the exchange and registers it with the membership agent. */
   ServerUseExchange(GatewayContext context, JobLog log, ServerView view, MemberAgent members) {
     this.context = Objects.requireNonNull(context, "context");
     this.log = Objects.requireNonNull(log, "log");
     this.view = Objects.requireNonNull(view, "view");
-    members.shareServerUse(this::ownReport, this::onOthersBeat);
+    members.shareServerUse(this::ownReport, this::onOthersHeartbeat);
   }
 
   private List<ServerUse> ownReport() {
@@ -47,24 +47,24 @@
     boolean isShared =
         log.table().open().stream().anyMatch(job -> !log.owners().isOwn(job.submission().run()));
     return isShared && log.isRunner()
-        ? view.use(MAX_SERVERS_OF_ALL, MAX_SERVERS_PER_BEAT, context.now())
+        ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.now())
         : List.of();
   }
 
-  private void onOthersBeat(MemberBeat beat) {
-    view.onReport(beat.node(), beat.incarnation(), beat.serverUse(), context.now());
+  private void onOthersHeartbeat(MemberBeat heartbeat) {
+    view.onReport(heartbeat.node(), heartbeat.incarnation(), heartbeat.serverUse(), context.now());
   }
 
   private void logSlow() {
     Set<ServerStart> slow = view.slowServers();
-    if (slowBefore.containsAll(slow) || context.now() < nextLineAtMillis) {
+    if (lastLoggedSlowServers.containsAll(slow) || context.now() < nextLogLineMillis) {
       return;
     }
-    nextLineAtMillis = context.now() + BETWEEN_LINES_MILLIS;
-    slowBefore = slow;
+    nextLogLineMillis = context.now() + LOG_INTERVAL_MILLIS;
+    lastLoggedSlowServers = slow;
     LOG.atInfo()
         .addKeyValue("slow", slow.size())
-        .addKeyValue("servers", slow.stream().sorted().limit(MAX_NAMED).toList())
+        .addKeyValue("servers", slow.stream().sorted().limit(MAX_SERVERS_PER_LINE).toList())
         .log("job: servers generate slowly");
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -21,16 +21,16 @@
   private static final Logger LOG = LoggerFactory.getLogger(UsageMeter.class);
   static final String STREAM = "usage.0";
 
-  private static final long LOOK_MILLIS = 250;
+  private static final long PUBLISH_CHECK_INTERVAL_MILLIS = 250;
 
-  private static final long CLOCK_MILLIS = 500;
+  private static final long CLOCK_SAMPLE_INTERVAL_MILLIS = 500;
   private final GatewayContext context;
   private final UsageSettings settings;
   private final UsageCounter counter;
   private final TrueTime trueTime = new TrueTime();
   private final IntSupplier liveNodes;
-  private long toldAtMillis = Long.MIN_VALUE / 2;
-  private boolean isTelling;
+  private long lastPublishedMillis = Long.MIN_VALUE / 2;
+  private boolean isPublishing;
 
   /**
    * Creates a meter; {@link #start} begins its periodic work.
@@ -46,13 +46,13 @@
   }
 
   void start() {
-    context.timers().every(CLOCK_MILLIS, this::sampleClocks);
-    context.timers().every(LOOK_MILLIS, this::tellIfDue);
+    context.timers().every(CLOCK_SAMPLE_INTERVAL_MILLIS, this::sampleClocks);
+    context.timers().every(PUBLISH_CHECK_INTERVAL_MILLIS, this::publishIfDue);
   }
 
-  private void tellIfDue() {
-    if (context.now() - toldAtMillis >= settings.tellMillis(liveNodes.getAsInt())) {
-      tell().subscribe().with(ignored -> {});
+  private void publishIfDue() {
+    if (context.now() - lastPublishedMillis >= settings.tellMillis(liveNodes.getAsInt())) {
+      publish().subscribe().with(ignored -> {});
     }
   }
 
@@ -73,18 +73,18 @@
   }
 
   /** Publishes the new counts in the log; completes when the append has succeeded or failed. */
-  Uni<Void> tell() {
-    List<UsageRecord> records = isTelling ? List.of() : counter.takeUntold();
+  Uni<Void> publish() {
+    List<UsageRecord> records = isPublishing ? List.of() : counter.takeUntold();
     if (records.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
-    isTelling = true;
-    toldAtMillis = context.now();
+    isPublishing = true;
+    lastPublishedMillis = context.now();
     return context
         .log()
         .append(STREAM, records.stream().map(Codec::encode).toList())
         .onTermination()
-        .invoke(() -> isTelling = false)
+        .invoke(() -> isPublishing = false)
         .onFailure()
         .invoke(failure -> onFailure(records, failure))
         .onFailure()
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -21,13 +21,13 @@
  */
 final class UsageReporter implements Duty {
   private static final Logger LOG = LoggerFactory.getLogger(UsageReporter.class);
-  private static final long CALL_LIMIT_MILLIS = 700;
+  private static final long CALL_TIMEOUT_MILLIS = 700;
 
   /** Backoff after a failed report, since the platform limits the rate of reports. */
-  private static final long RETRY_MILLIS = 300;
+  private static final long RETRY_DELAY_MILLIS = 300;
 
   /** Time after which counts are appended again if the record was not read back. */
-  private static final long FIX_AGAIN_MILLIS = 1_500;
+  private static final long FIX_RETRY_DELAY_MILLIS = 1_500;
 
   /** Batches reads of counts, which are needed only seconds after their window. */
   private static final long READ_PAUSE_MILLIS = 500;
@@ -38,9 +38,9 @@
   private final UsageReports reports = new UsageReports();
   private UsageTable table = new UsageTable();
   private LogTail tail;
-  private long fixedAtMillis = Long.MIN_VALUE / 2;
-  private long notBeforeMillis = Long.MIN_VALUE / 2;
-  private boolean isRefreshing;
+  private long lastFixedMillis = Long.MIN_VALUE / 2;
+  private long retryNotBeforeMillis = Long.MIN_VALUE / 2;
+  private boolean isReading;
   private boolean isSending;
 
   /** Creates the duty and adds it to the agent. */
@@ -88,7 +88,7 @@
     if (record instanceof DutyRecord.UsageFixed fixed) {
       reports.onFixed(fixed);
       table.forgetTo(fixed.window());
-      fixedAtMillis = Long.MIN_VALUE / 2;
+      lastFixedMillis = Long.MIN_VALUE / 2;
     } else if (record instanceof DutyRecord.UsageReported reported) {
       reports.onReported(reported);
     }
@@ -96,12 +96,12 @@
 
   @Override
   public void act(long nowMillis) {
-    if (isSending || nowMillis < notBeforeMillis) {
+    if (isSending || nowMillis < retryNotBeforeMillis) {
       return;
     }
     if (reports.nextToReport().isPresent()) {
       send(reports.nextToReport().get(), nowMillis);
-    } else if (nowMillis - fixedAtMillis >= FIX_AGAIN_MILLIS && !isRefreshing) {
+    } else if (nowMillis - lastFixedMillis >= FIX_RETRY_DELAY_MILLIS && !isReading) {
       OptionalLong window = reports.nextToFix(meter.newestDue(nowMillis));
       window.ifPresent(this::readThenFix);
     }
@@ -112,17 +112,17 @@
     if (tail == null || !tail.isCaughtUp()) {
       return;
     }
-    isRefreshing = true;
+    isReading = true;
     LogTail reading = tail;
     context
         .timers()
-        .limit(reading.refresh(), CALL_LIMIT_MILLIS, "usage")
+        .limit(reading.refresh(), CALL_TIMEOUT_MILLIS, "usage")
         .onFailure()
         .recoverWithItem(false)
         .subscribe()
         .with(
             isSure -> {
-              isRefreshing = false;
+              isReading = false;
               if (isSure && reading == tail) {
                 fix(window);
               }
@@ -130,7 +130,7 @@
   }
 
   private void fix(long window) {
-    fixedAtMillis = context.now();
+    lastFixedMillis = context.now();
     duties.append(
         new DutyRecord.UsageFixed(
             duties.epoch(),
@@ -151,7 +151,7 @@
     duties.onCallSent();
     context
         .duties()
-        .reportUsage(usage, CALL_LIMIT_MILLIS)
+        .reportUsage(usage, CALL_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             done -> onReported(usage, nowMillis),
@@ -180,7 +180,7 @@
 
   private void onFailed(Usage usage, PlatformException failure) {
     isSending = false;
-    notBeforeMillis = context.now() + RETRY_MILLIS;
+    retryNotBeforeMillis = context.now() + RETRY_DELAY_MILLIS;
     context.metrics().windowReportsFailed.increment();
     LOG.atInfo()
         .addKeyValue("window", usage.window())
--- a/node/src/main/java/org/passhaven/node/gateway/OrderAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -19,14 +19,14 @@
  * sequence number of a server report read just before, so that the server ignores a delayed order
  * once it has accepted another.
  */
-final class OrderAgent implements Duty {
-  private static final Logger LOG = LoggerFactory.getLogger(OrderAgent.class);
-  private static final long CALL_LIMIT_MILLIS = 700;
-  private static final long LOOK_AGAIN_MILLIS = 150;
-  private static final long LOAD_MILLIS = 850;
-  private static final long LOAD_LIMIT_MILLIS = 5_000;
-  private static final long RETRY_MILLIS = 400;
-  private static final long UNREACHABLE_MILLIS = 1_500;
+final class VersionOrderDuty implements Duty {
+  private static final Logger LOG = LoggerFactory.getLogger(VersionOrderDuty.class);
+  private static final long CALL_TIMEOUT_MILLIS = 700;
+  private static final long POLL_INTERVAL_MILLIS = 150;
+  private static final long FIRST_POLL_DELAY_MILLIS = 850;
+  private static final long LOAD_TIMEOUT_MILLIS = 5_000;
+  private static final long RETRY_DELAY_MILLIS = 400;
+  private static final long UNREACHABLE_RETRY_DELAY_MILLIS = 1_500;
 
   private final GatewayContext context;
   private final Directory directory;
@@ -35,7 +35,7 @@
   private final VersionOrderPlanner planner;
 
   /** Creates the duty and adds it to the agent. */
-  OrderAgent(GatewayContext context, Directory directory, JobLog jobs, DutyAgent duties) {
+  VersionOrderDuty(GatewayContext context, Directory directory, JobLog jobs, DutyAgent duties) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.jobs = Objects.requireNonNull(jobs, "jobs");
@@ -67,7 +67,7 @@
 
   @Override
   public void act(long nowMillis) {
-    planner.begin(servers(), demand(), nowMillis).forEach(this::look);
+    planner.begin(servers(), demand(), nowMillis).forEach(this::checkServer);
   }
 
   /** Returns the servers of routed services; others may not belong to this platform. */
@@ -82,34 +82,34 @@
   }
 
   /** Reads a server's report, then orders the version if the server needs it. */
-  private void look(Wanted wanted) {
+  private void checkServer(Wanted wanted) {
     context
         .backEnds()
-        .report(ServerTargets.of(wanted.server()), CALL_LIMIT_MILLIS)
+        .report(ServerTargets.of(wanted.server()), CALL_TIMEOUT_MILLIS)
         .subscribe()
-        .with(report -> onReport(wanted, report), failure -> unreachable(wanted, failure));
+        .with(report -> onReport(wanted, report), failure -> onUnreachable(wanted, failure));
   }
 
   private void onReport(Wanted wanted, Report report) {
-    if (isOfOtherStart(wanted, report)) {
-      fail(wanted, "the server has restarted");
+    if (isOfOtherIncarnation(wanted, report)) {
+      retryLater(wanted, "the server has restarted");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
-      done(wanted);
+      onVersionReached(wanted);
     } else if (report.busy()) {
-      fail(wanted, "another order is in progress");
+      retryLater(wanted, "another order is in progress");
     } else {
       order(wanted, report.sequence());
     }
   }
 
   /** Returns whether the report is of another incarnation of the server. */
-  private static boolean isOfOtherStart(Wanted wanted, Report report) {
+  private static boolean isOfOtherIncarnation(Wanted wanted, Report report) {
     return report.bornMillis() != wanted.server().start().bornMillis();
   }
 
   private void order(Wanted wanted, long sequence) {
     if (!duties.mayAct()) {
-      fail(wanted, "the duty lease is not valid");
+      retryLater(wanted, "the duty lease is not valid");
       return;
     }
     Order order =
@@ -126,7 +126,7 @@
     duties.onCallSent();
     context
         .backEnds()
-        .order(ServerTargets.of(wanted.server()), order, CALL_LIMIT_MILLIS)
+        .order(ServerTargets.of(wanted.server()), order, CALL_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             outcome -> {
@@ -135,52 +135,53 @@
             },
             failure -> {
               duties.onCallUnanswered();
-              unreachable(wanted, failure);
+              onUnreachable(wanted, failure);
             });
   }
 
   private void onOrdered(Wanted wanted, OrderOutcome outcome) {
     if (outcome == OrderOutcome.IN_EFFECT) {
-      done(wanted);
+      onVersionReached(wanted);
     } else if (outcome == OrderOutcome.STARTED) {
-      long until = context.now() + LOAD_LIMIT_MILLIS;
-      context.timers().after(LOAD_MILLIS, () -> watch(wanted, until));
+      long until = context.now() + LOAD_TIMEOUT_MILLIS;
+      context.timers().after(FIRST_POLL_DELAY_MILLIS, () -> pollLoad(wanted, until));
     } else {
-      fail(wanted, "the server answered " + outcome);
+      retryLater(wanted, "the server answered " + outcome);
     }
   }
 
   /** Polls the server until it has loaded the version or the time limit has passed. */
-  private void watch(Wanted wanted, long untilMillis) {
+  private void pollLoad(Wanted wanted, long untilMillis) {
     ServerEntry entry = directory.servers().get(wanted.server().start());
     if (entry != null && entry.versionOf(wanted.model()) >= wanted.version()) {
-      done(wanted);
+      onVersionReached(wanted);
       return;
     }
     if (entry == null || context.now() >= untilMillis) {
-      fail(wanted, "the load did not end in time");
+      retryLater(wanted, "the load did not end in time");
       return;
     }
     context
         .backEnds()
-        .report(ServerTargets.of(wanted.server()), CALL_LIMIT_MILLIS)
+        .report(ServerTargets.of(wanted.server()), CALL_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            report -> onWatched(wanted, report, untilMillis),
-            failure -> context.timers().after(LOOK_AGAIN_MILLIS, () -> watch(wanted, untilMillis)));
+            report -> onLoadReport(wanted, report, untilMillis),
+            failure ->
+                context.timers().after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, untilMillis)));
   }
 
-  private void onWatched(Wanted wanted, Report report, long untilMillis) {
-    if (isOfOtherStart(wanted, report)) {
-      fail(wanted, "the server restarted during the load");
+  private void onLoadReport(Wanted wanted, Report report, long untilMillis) {
+    if (isOfOtherIncarnation(wanted, report)) {
+      retryLater(wanted, "the server restarted during the load");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
-      done(wanted);
+      onVersionReached(wanted);
     } else {
-      context.timers().after(LOOK_AGAIN_MILLIS, () -> watch(wanted, untilMillis));
+      context.timers().after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, untilMillis));
     }
   }
 
-  private void done(Wanted wanted) {
+  private void onVersionReached(Wanted wanted) {
     ServerStart server = wanted.server().start();
     directory.onReached(server, wanted.model(), wanted.version());
     duties.append(
@@ -196,14 +197,14 @@
     duties.decide();
   }
 
-  private void unreachable(Wanted wanted, Throwable failure) {
+  private void onUnreachable(Wanted wanted, Throwable failure) {
     logNotDone(wanted, failure.getMessage());
-    planner.onUnreachable(wanted.server().start(), context.now() + UNREACHABLE_MILLIS);
+    planner.onUnreachable(wanted.server().start(), context.now() + UNREACHABLE_RETRY_DELAY_MILLIS);
   }
 
-  private void fail(Wanted wanted, String reason) {
+  private void retryLater(Wanted wanted, String reason) {
     logNotDone(wanted, reason);
-    planner.onFailed(wanted.server().start(), context.now() + RETRY_MILLIS);
+    planner.onFailed(wanted.server().start(), context.now() + RETRY_DELAY_MILLIS);
   }
 
   private static void logNotDone(Wanted wanted, String reason) {
--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -53,27 +53,27 @@
   private final RequestAdmission admission =
       new RequestAdmission(
           context, new Directory(context, () -> 0), AdmissionServicesTest::serversOf);
-  private final List<String> told = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
 
   private static List<ServerEntry> serversOf(String service) {
     return List.of(
         new ServerEntry(ServerStart.of(service), service, "a:1", "z", 1, true, Map.of()));
   }
 
-  private void ask(String id, String service, Runnable whenRejected) {
+  private void submit(String id, String service, Runnable whenRejected) {
     Call call = new Call(id, "", "GET", "/", "h", List.of(), new byte[0], DEADLINE_MILLIS);
     admission
-        .place(ROUTE, call, service, Source.SCORING, DEADLINE_MILLIS)
-        .ask(
-            new RequestAdmission.PlaceListener() {
+        .newSlot(ROUTE, call, service, Source.SCORING, DEADLINE_MILLIS)
+        .acquire(
+            new RequestAdmission.SlotListener() {
               @Override
-              public void onSend() {
-                told.add(id + " sent");
+              public void onAdmitted() {
+                events.add(id + " sent");
               }
 
               @Override
-              public void onReject(Reject verdict) {
-                told.add(id + " rejected");
+              public void onRejected(Reject verdict) {
+                events.add(id + " rejected");
                 whenRejected.run();
               }
             });
@@ -81,10 +81,10 @@
 
   @Test
   void closingAdmissionAllowsARejectedCallerToUseANewService() {
-    ask("1", "old", () -> {});
-    ask("2", "old", () -> {});
-    ask("3", "old", () -> ask("4", "new", () -> {}));
-    admission.end();
-    assertThat(told, contains("1 sent", "2 sent", "3 rejected", "4 sent"));
+    submit("1", "old", () -> {});
+    submit("2", "old", () -> {});
+    submit("3", "old", () -> submit("4", "new", () -> {}));
+    admission.close();
+    assertThat(events, contains("1 sent", "2 sent", "3 rejected", "4 sent"));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -46,7 +46,7 @@
       new ServerEntry(ServerStart.of("a"), "s", "a:1", "z", 6, true, Map.of());
   private final ManualTimers timers = new ManualTimers();
   private final List<PlatformException.Kind> failures = new ArrayList<>();
-  private final List<ServerStart> silent = new ArrayList<>();
+  private final List<ServerStart> hedgeDue = new ArrayList<>();
   private final ForwardAttempts attempts =
       new ForwardAttempts(
           context(),
@@ -55,7 +55,7 @@
           new ForwardPlan(ROUTE, DEADLINE_MILLIS),
           new RecordingListener());
 
-  private static final class FullServers extends GatewayFixture.NoServers {
+  private static final class ServersAtCapacity extends GatewayFixture.NoServers {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       return Uni.createFrom()
@@ -75,8 +75,8 @@
     }
 
     @Override
-    public void onSilent(ServerEntry server) {
-      silent.add(server.start());
+    public void onHedgeDue(ServerEntry server) {
+      hedgeDue.add(server.start());
     }
   }
 
@@ -88,7 +88,7 @@
         bound -> 0,
         new MemoryLog(timers),
         new GatewayFixture.NoTables(),
-        new FullServers(),
+        new ServersAtCapacity(),
         DutyService.NONE,
         new GatewayFixture.NoDocuments(),
         new GatewayMetrics(new SimpleMeterRegistry()));
@@ -98,8 +98,8 @@
   void anAttemptThatFailsImmediatelyIsNotInProgressAndIsNeverHedged() {
     attempts.send(SERVER, false);
     assertThat(failures, contains(PlatformException.Kind.HELD_BACK));
-    assertThat(attempts.isRunning(), equalTo(false));
+    assertThat(attempts.isInProgress(), equalTo(false));
     timers.advance(DEADLINE_MILLIS);
-    assertThat(silent, empty());
+    assertThat(hedgeDue, empty());
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/MemberAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemberAgentTest.java
@@ -26,7 +26,7 @@
  */
 class MemberAgentTest {
   private static final String STREAM = "members.0";
-  private static final long FRESH_MILLIS = 6_000;
+  private static final long STARTUP_MILLIS = 6_000;
   private final ManualTimers timers = new ManualTimers();
   private final MemoryLog log = new MemoryLog(timers);
   private boolean isDependedOn;
@@ -47,32 +47,32 @@
           () -> isDependedOn,
           () -> 250);
 
-  private int timesFleetLost;
+  private int fleetLostCalls;
 
   @BeforeEach
   void writeHeartbeatsOfALostFleet() {
     for (int i = 0; i < 20; i++) {
-      MemberBeat beat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
-      log.stream(STREAM).add(Codec.encode(beat));
+      MemberBeat heartbeat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
+      log.stream(STREAM).add(Codec.encode(heartbeat));
     }
-    agent.start(() -> {}, () -> timesFleetLost++);
+    agent.start(() -> {}, () -> fleetLostCalls++);
   }
 
-  private void passTheFirstSeconds() {
-    timers.advance(FRESH_MILLIS);
+  private void passStartup() {
+    timers.advance(STARTUP_MILLIS);
   }
 
   @Test
   void aLostFleetDoesNotDelayANewNode() {
     timers.advance(400);
-    assertThat(timesFleetLost, equalTo(0));
+    assertThat(fleetLostCalls, equalTo(0));
     assertThat(agent.isSettled(), is(false));
     timers.advance(300);
-    assertThat(timesFleetLost, equalTo(1));
+    assertThat(fleetLostCalls, equalTo(1));
     assertThat(agent.isSettled(), is(true));
     assertThat(agent.beats().isTaking("old3"), is(false));
-    passTheFirstSeconds();
-    assertThat(timesFleetLost, equalTo(1));
+    passStartup();
+    assertThat(fleetLostCalls, equalTo(1));
   }
 
   @Test
@@ -80,21 +80,21 @@
     timers.advance(10);
     log.appends = MemoryLog.Manner.SILENT;
     timers.advance(590);
-    MemberBeat beat = new MemberBeat("old1", "o:1", "z", 1, true, 0, 500, 0, 0);
-    log.stream(STREAM).add(Codec.encode(beat));
+    MemberBeat heartbeat = new MemberBeat("old1", "o:1", "z", 1, true, 0, 500, 0, 0);
+    log.stream(STREAM).add(Codec.encode(heartbeat));
     timers.advance(400);
-    assertThat(timesFleetLost, equalTo(0));
+    assertThat(fleetLostCalls, equalTo(0));
   }
 
   @Test
   void aFleetThatKeepsSendingHeartbeatsIsNotLost() {
     timers.advance(400);
     for (int i = 0; i < 20; i++) {
-      MemberBeat beat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
-      log.stream(STREAM).add(Codec.encode(beat));
+      MemberBeat heartbeat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
+      log.stream(STREAM).add(Codec.encode(heartbeat));
     }
     timers.advance(1_000);
-    assertThat(timesFleetLost, equalTo(0));
+    assertThat(fleetLostCalls, equalTo(0));
     assertThat(agent.beats().isTaking("old3"), is(true));
   }
 
@@ -103,8 +103,8 @@
     timers.advance(400);
     assertThat(agent.isLivenessUnknown(), is(true));
     for (int i = 0; i < 20; i++) {
-      MemberBeat beat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
-      log.stream(STREAM).add(Codec.encode(beat));
+      MemberBeat heartbeat = new MemberBeat("old" + i, "o:1", "z", 1, true, 0, 500, 0, 0);
+      log.stream(STREAM).add(Codec.encode(heartbeat));
     }
     timers.advance(300);
     assertThat(agent.isLivenessUnknown(), is(false));
@@ -121,56 +121,56 @@
     assertThat(agent.isLivenessUnknown(), is(false));
   }
 
-  private int beatsWithin(long millis) {
+  private int heartbeatsWithin(long millis) {
     int before = log.stream(STREAM).size();
     timers.advance(millis);
     return log.stream(STREAM).size() - before;
   }
 
-  private MemberBeat newestBeat() {
-    List<byte[]> beats = log.stream(STREAM);
-    return Codec.decode(beats.get(beats.size() - 1), MemberBeat.class);
+  private MemberBeat newestHeartbeat() {
+    List<byte[]> records = log.stream(STREAM);
+    return Codec.decode(records.get(records.size() - 1), MemberBeat.class);
   }
 
   @Test
   void anIdleNodeSendsAHeartbeatEverySecond() {
-    passTheFirstSeconds();
-    assertThat(beatsWithin(10_000), equalTo(10));
-    assertThat(newestBeat().periodMillis(), equalTo(1_000L));
+    passStartup();
+    assertThat(heartbeatsWithin(10_000), equalTo(10));
+    assertThat(newestHeartbeat().periodMillis(), equalTo(1_000L));
     assertThat(agent.isInTouch(), is(true));
     assertThat(agent.beats().isTaking("n"), is(true));
   }
 
   @Test
   void aNodeInUseSendsHeartbeatsAtTheConfiguredPeriod() {
-    passTheFirstSeconds();
+    passStartup();
     isDependedOn = true;
-    assertThat(beatsWithin(10_000), equalTo(20));
-    assertThat(newestBeat().periodMillis(), equalTo(500L));
+    assertThat(heartbeatsWithin(10_000), equalTo(20));
+    assertThat(newestHeartbeat().periodMillis(), equalTo(500L));
   }
 
   @Test
   void aNodeThatComesIntoUseAnnouncesTheShorterPeriodAtOnce() {
-    passTheFirstSeconds();
-    beatsWithin(10_000);
+    passStartup();
+    heartbeatsWithin(10_000);
     isDependedOn = true;
     agent.hurry();
-    assertThat(newestBeat().periodMillis(), equalTo(500L));
-    int told = log.stream(STREAM).size();
+    assertThat(newestHeartbeat().periodMillis(), equalTo(500L));
+    int recordsBefore = log.stream(STREAM).size();
     agent.hurry();
-    assertThat(log.stream(STREAM).size(), equalTo(told));
+    assertThat(log.stream(STREAM).size(), equalTo(recordsBefore));
   }
 
   @Test
   void aLeavingNodeAnnouncesItAtOnce() {
-    passTheFirstSeconds();
+    passStartup();
     agent.announceLeaving();
-    assertThat(newestBeat().taking(), is(false));
+    assertThat(newestHeartbeat().taking(), is(false));
   }
 
   @Test
   void noHeartbeatIsSentWhileOneIsInFlight() {
-    passTheFirstSeconds();
+    passStartup();
     log.appends = MemoryLog.Manner.SILENT;
     isDependedOn = true;
     int before = log.appendCalls;
@@ -180,7 +180,7 @@
 
   @Test
   void afterASuspensionTheLogIsReachableOnceALaterHeartbeatIsReadBack() {
-    passTheFirstSeconds();
+    passStartup();
     assertThat(agent.isInTouch(), is(true));
     timers.suspend(5_000);
     assertThat(agent.isInTouch(), is(false));
@@ -191,7 +191,7 @@
 
   @Test
   void afterASuspensionTheLogIsNotReachableWhileAppendsHang() {
-    passTheFirstSeconds();
+    passStartup();
     log.appends = MemoryLog.Manner.SILENT;
     timers.suspend(5_000);
     timers.advance(1_000);
@@ -200,7 +200,7 @@
 
   @Test
   void aReadThatHangsAfterASuspensionIsReplaced() {
-    passTheFirstSeconds();
+    passStartup();
     log.hangReads = true;
     timers.advance(1_000);
     log.hangReads = false;
@@ -217,7 +217,7 @@
   @Test
   void heartbeatsCarryServerUseOnlyWhileThereIsSome() {
     List<ServerUse> own = new ArrayList<>();
-    agent.shareServerUse(() -> own, beat -> {});
+    agent.shareServerUse(() -> own, heartbeat -> {});
     own.add(new ServerUse("s", 0, 3, 45));
     timers.advance(600);
     assertThat(lastOwnUse(), equalTo(own));
@@ -228,15 +228,15 @@
 
   @Test
   void newServerUseOfOtherNodesIsPassedOnAndOldIsNot() {
-    List<MemberBeat> told = new ArrayList<>();
-    agent.shareServerUse(List::of, told::add);
+    List<MemberBeat> received = new ArrayList<>();
+    agent.shareServerUse(List::of, received::add);
     timers.advance(600);
-    assertThat(told, empty());
-    MemberBeat beat =
+    assertThat(received, empty());
+    MemberBeat heartbeat =
         new MemberBeat(
             "other", "o:1", "z", 1, true, 0, 500, 0, 0, List.of(new ServerUse("s", 0, 3, 45)));
-    log.stream(STREAM).add(Codec.encode(beat));
+    log.stream(STREAM).add(Codec.encode(heartbeat));
     timers.advance(600);
-    assertThat(told, contains(beat));
+    assertThat(received, contains(heartbeat));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -52,14 +52,14 @@
   private static final long DEADLINE_MILLIS = 1_500;
   private static final int BURST = 48;
   private static final int LIMIT = 21;
-  private static final int CALLER_FLOOR = 9;
+  private static final int RESERVED_FOR_CALLERS = 9;
   private final ManualTimers timers = new ManualTimers();
   private final MemoryTables tables = new MemoryTables(timers);
   private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
-  private final Map<String, UniEmitter<? super Answer>> atServers = new HashMap<>();
+  private final Map<String, UniEmitter<? super Answer>> attemptsInProgress = new HashMap<>();
   private final List<String> sent = new ArrayList<>();
   private final Map<String, ForwardOutcome> outcomes = new HashMap<>();
-  private final Map<String, Cancellable> callers = new HashMap<>();
+  private final Map<String, Cancellable> subscriptions = new HashMap<>();
   private boolean isRefusing;
   private RequestForwarder forwarder;
 
@@ -71,7 +71,7 @@
         return Uni.createFrom()
             .failure(new PlatformException(PlatformException.Kind.NOT_RUN, "refused"));
       }
-      return Uni.createFrom().emitter(emitter -> atServers.put(call.id(), emitter));
+      return Uni.createFrom().emitter(emitter -> attemptsInProgress.put(call.id(), emitter));
     }
 
     @Override
@@ -137,11 +137,11 @@
     timers.advance(5);
   }
 
-  private void ask(String id, Source source) {
-    ask(id, source, "");
+  private void submit(String id, Source source) {
+    submit(id, source, "");
   }
 
-  private void ask(String id, Source source, String tenant) {
+  private void submit(String id, Source source, String tenant) {
     Route route =
         new Route(
             source.name(),
@@ -158,7 +158,7 @@
             0,
             true);
     Call call = new Call(id, tenant, "GET", "/" + id, "h", List.of(), new byte[0], DEADLINE_MILLIS);
-    callers.put(
+    subscriptions.put(
         id,
         forwarder
             .forward(route, call, source)
@@ -166,15 +166,17 @@
             .with(outcome -> outcomes.put(id, outcome)));
   }
 
-  private void burst() {
+  private void submitBurst() {
     for (int i = 0; i < BURST; i++) {
-      ask("score" + i, Source.SCORING);
+      submit("score" + i, Source.SCORING);
     }
     timers.advance(5);
   }
 
   private void answer(String id) {
-    atServers.remove(id).complete(new Answer(200, false, "signed", List.of(), new byte[0]));
+    attemptsInProgress
+        .remove(id)
+        .complete(new Answer(200, false, "signed", List.of(), new byte[0]));
   }
 
   private double gauge(String name) {
@@ -183,7 +185,7 @@
 
   @Test
   void aBurstIsLimitedAndEachCompletionAdmitsTheNextRequest() {
-    burst();
+    submitBurst();
     assertThat(sent, hasSize(LIMIT));
     assertThat(gauge("waiting"), equalTo((double) BURST - LIMIT));
     assertThat(gauge("limit"), equalTo((double) LIMIT));
@@ -198,14 +200,14 @@
 
   @Test
   void aCallerIsAdmittedBeforeAQueuedBurst() {
-    burst();
-    ask("caller", Source.CALLER);
+    submitBurst();
+    submit("caller", Source.CALLER);
     assertThat(sent.contains("caller"), is(true));
   }
 
   @Test
   void whenAllServersAreGoneQueuedRequestsAreRejectedAndSentOnesContinue() {
-    burst();
+    submitBurst();
     remove("a", "b", "c");
     assertThat(outcomes.size(), equalTo(BURST - LIMIT));
     assertThat(outcomes.values(), everyItem(instanceOf(ForwardOutcome.NotRun.class)));
@@ -217,11 +219,11 @@
 
   @Test
   void whenSomeServersAreGoneTheOthersServeQueuedRequests() {
-    burst();
+    submitBurst();
     remove("a", "b");
     assertThat(outcomes.size(), equalTo(0));
-    while (!atServers.isEmpty()) {
-      answer(sent.stream().filter(atServers::containsKey).findFirst().orElseThrow());
+    while (!attemptsInProgress.isEmpty()) {
+      answer(sent.stream().filter(attemptsInProgress::containsKey).findFirst().orElseThrow());
     }
     assertThat(outcomes.size(), equalTo(BURST));
     assertThat(outcomes.values(), everyItem(instanceOf(ForwardOutcome.Answered.class)));
@@ -229,9 +231,9 @@
 
   @Test
   void aCancelledQueuedRequestIsNeverSent() {
-    burst();
+    submitBurst();
     for (int i = LIMIT; i < BURST; i++) {
-      callers.get("score" + i).cancel();
+      subscriptions.get("score" + i).cancel();
     }
     for (int i = 0; i < LIMIT; i++) {
       answer("score" + i);
@@ -242,32 +244,33 @@
 
   @Test
   void cancellingARequestInFlightAdmitsTheNextOne() {
-    burst();
-    callers.get("score0").cancel();
+    submitBurst();
+    subscriptions.get("score0").cancel();
     assertThat(sent, hasSize(LIMIT + 1));
   }
 
   @Test
   void ifServersDoNotAnswerCallersAreRejectedAfterAThirdOfTheirDeadline() {
-    burst();
-    for (int i = 0; i <= CALLER_FLOOR; i++) {
-      ask("caller" + i, Source.CALLER);
+    submitBurst();
+    for (int i = 0; i <= RESERVED_FOR_CALLERS; i++) {
+      submit("caller" + i, Source.CALLER);
     }
-    assertThat(sent, hasSize(LIMIT + CALLER_FLOOR));
+    assertThat(sent, hasSize(LIMIT + RESERVED_FOR_CALLERS));
     timers.advance(DEADLINE_MILLIS / 3 + 20);
-    ForwardOutcome.NotRun refused = (ForwardOutcome.NotRun) outcomes.get("caller" + CALLER_FLOOR);
-    assertThat(refused.retryAfterMillis(), both(greaterThanOrEqualTo(100L)).and(lessThan(500L)));
+    ForwardOutcome.NotRun rejected =
+        (ForwardOutcome.NotRun) outcomes.get("caller" + RESERVED_FOR_CALLERS);
+    assertThat(rejected.retryAfterMillis(), both(greaterThanOrEqualTo(100L)).and(lessThan(500L)));
     assertThat(outcomes.size(), equalTo(1));
   }
 
   @Test
   void aStoppingNodeServesQueuedRequestsAndRejectsTheRestAtItsEnd() {
-    burst();
-    forwarder.admission().stop();
+    submitBurst();
+    forwarder.admission().drain();
     assertThat(outcomes.values(), empty());
     answer("score0");
     assertThat("queued requests are still served", sent, hasSize(LIMIT + 1));
-    forwarder.admission().end();
+    forwarder.admission().close();
     assertThat(outcomes.size(), equalTo(BURST - LIMIT));
     sent.stream()
         .skip(1)
@@ -276,8 +279,8 @@
 
   @Test
   void aStoppingNodeRejectsQueuedRequestsWithinASecond() {
-    burst();
-    forwarder.admission().stop();
+    submitBurst();
+    forwarder.admission().drain();
     timers.advance(1_020);
     assertThat(outcomes.size(), equalTo(BURST - LIMIT));
     assertThat(outcomes.values(), everyItem(instanceOf(ForwardOutcome.NotRun.class)));
@@ -285,12 +288,12 @@
 
   @Test
   void aTenantsPriorityOverridesTheRoutes() {
-    burst();
-    for (int i = 0; i < CALLER_FLOOR; i++) {
-      ask("before" + i, Source.CALLER, "other");
+    submitBurst();
+    for (int i = 0; i < RESERVED_FOR_CALLERS; i++) {
+      submit("before" + i, Source.CALLER, "other");
     }
-    ask("other", Source.CALLER, "other");
-    ask("first", Source.CALLER, "first");
+    submit("other", Source.CALLER, "other");
+    submit("first", Source.CALLER, "first");
     answer("before0");
     assertThat(sent.get(sent.size() - 1), equalTo("first"));
     answer("first");
@@ -304,36 +307,36 @@
     Random random = new Random(seed);
     Set<String> mayHaveRun = new HashSet<>();
     for (int i = 0; i < 3_000; i++) {
-      ask("r" + i, random.nextInt(3) == 0 ? Source.CALLER : Source.SCORING);
+      submit("r" + i, random.nextInt(3) == 0 ? Source.CALLER : Source.SCORING);
       if (random.nextInt(4) == 0) {
-        callers.get("r" + random.nextInt(i + 1)).cancel();
+        subscriptions.get("r" + random.nextInt(i + 1)).cancel();
       }
       if (random.nextInt(200) == 0) {
         remove("a", "b", "c");
         List.of("a", "b").forEach(this::list);
       }
       timers.advance(random.nextInt(4));
-      for (String id : List.copyOf(atServers.keySet())) {
+      for (String id : List.copyOf(attemptsInProgress.keySet())) {
         if (random.nextInt(20) == 0) {
           end(id, random.nextInt(5), mayHaveRun);
         }
       }
     }
     timers.advance(2 * DEADLINE_MILLIS);
-    mayHaveRun.addAll(atServers.keySet());
+    mayHaveRun.addAll(attemptsInProgress.keySet());
     assertThat(forwarder.inProgress(), equalTo(0));
     assertThat(gauge("waiting"), equalTo(0.0));
-    List<String> toldAsNotRun =
+    List<String> reportedAsNotRun =
         outcomes.entrySet().stream()
             .filter(each -> each.getValue() instanceof ForwardOutcome.NotRun)
             .map(Map.Entry::getKey)
             .toList();
-    assertThat(toldAsNotRun.size(), greaterThan(100));
-    assertThat(toldAsNotRun.stream().filter(mayHaveRun::contains).toList(), empty());
+    assertThat(reportedAsNotRun.size(), greaterThan(100));
+    assertThat(reportedAsNotRun.stream().filter(mayHaveRun::contains).toList(), empty());
   }
 
   private void end(String id, int how, Set<String> mayHaveRun) {
-    UniEmitter<? super Answer> attempt = atServers.remove(id);
+    UniEmitter<? super Answer> attempt = attemptsInProgress.remove(id);
     if (how == 0) {
       attempt.complete(new Answer(503, true, "", List.of(), new byte[0]));
       return;
@@ -350,7 +353,7 @@
   @Test
   void whileConnectionsAreRefusedEveryRequestEndsAsNotRun() {
     isRefusing = true;
-    burst();
+    submitBurst();
     timers.advance(DEADLINE_MILLIS);
     assertThat(outcomes.size(), equalTo(BURST));
     assertThat(outcomes.values(), everyItem(instanceOf(ForwardOutcome.NotRun.class)));
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -42,9 +42,9 @@
   private final List<Sent> sent = new ArrayList<>();
   private final List<ForwardOutcome> outcomes = new ArrayList<>();
   private List<MemberBeat> nodes = List.of();
-  private int checks;
+  private int crashChecks;
   private CrashLog crashes;
-  private final List<String> began = new ArrayList<>();
+  private final List<String> requestsBegun = new ArrayList<>();
   private RequestForwarder forwarder;
 
   private record Sent(String server, Call call, UniEmitter<? super Answer> answer) {
@@ -74,7 +74,7 @@
 
     @Override
     public Uni<Boolean> hasEnded(Target target, long limitMillis) {
-      checks++;
+      crashChecks++;
       return Uni.createFrom().item(true);
     }
   }
@@ -107,10 +107,14 @@
     crashes.start();
     forwarder =
         new RequestForwarder(
-            context, directory, () -> nodes, crashes, (tenant, sentAt) -> began.add(tenant));
+            context,
+            directory,
+            () -> nodes,
+            crashes,
+            (tenant, sentAt) -> requestsBegun.add(tenant));
   }
 
-  private void ask(String path) {
+  private void submit(String path) {
     Route route =
         new Route(
             "r",
@@ -132,7 +136,7 @@
   }
 
   /** Returns a server by its place in this node's order of preference. */
-  private String ordered(int place) {
+  private String preferred(int place) {
     List<ServerEntry> servers = List.of("a", "b", "c").stream().map(this::entry).toList();
     Member self = new Member("n", "z");
     return ServerSubset.of(self, List.of(), servers).byPreference().get(place).start().id();
@@ -163,53 +167,53 @@
   }
 
   /** Sends a request and crashes each server that runs it until it is no longer retried. */
-  private void askAndCrash(String path) {
-    ask(path);
-    int seen;
+  private void submitAndCrash(String path) {
+    submit(path);
+    int sentBefore;
     do {
-      seen = sent.size();
+      sentBefore = sent.size();
       crash(last());
       timers.advance(10);
-    } while (sent.size() > seen);
+    } while (sent.size() > sentBefore);
   }
 
   @Test
   void successfulRequestsCauseNoCrashChecksOrNotes() {
     int puts = tables.puts;
     for (int i = 0; i < 100; i++) {
-      ask("/p" + i);
+      submit("/p" + i);
       last().succeed();
     }
     assertThat(outcomes, hasSize(100));
     assertThat(crashes.isQuiet(), is(true));
-    assertThat(checks, equalTo(0));
+    assertThat(crashChecks, equalTo(0));
     assertThat(tables.puts, equalTo(puts));
   }
 
   @Test
   void oneRequestCrashesAtMostTwoServersEvenIfFourAttemptsAreAllowed() {
-    askAndCrash("/p");
-    assertThat(sent.stream().map(Sent::server).toList(), contains(ordered(0), ordered(1)));
+    submitAndCrash("/p");
+    assertThat(sent.stream().map(Sent::server).toList(), contains(preferred(0), preferred(1)));
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.Unknown.class));
   }
 
   @Test
   void aHeldBackRequestIsRejectedAtOnceWithTheTimeOfItsTrial() {
-    askAndCrash("/p");
-    ask("/p");
+    submitAndCrash("/p");
+    submit("/p");
     assertThat(sent, hasSize(2));
-    ForwardOutcome.NotRun refused = (ForwardOutcome.NotRun) outcomes.get(1);
-    assertThat(refused.retryAfterMillis(), greaterThan(3_900L));
-    ask("/other");
+    ForwardOutcome.NotRun rejected = (ForwardOutcome.NotRun) outcomes.get(1);
+    assertThat(rejected.retryAfterMillis(), greaterThan(3_900L));
+    submit("/other");
     last().succeed();
     assertThat(outcomes.get(2), instanceOf(ForwardOutcome.Answered.class));
   }
 
   @Test
   void aSuccessfulTrialClearsARequest() {
-    askAndCrash("/p");
+    submitAndCrash("/p");
     timers.advance(4_000);
-    ask("/p");
+    submit("/p");
     assertThat(sent, hasSize(3));
     last().succeed();
     assertThat(outcomes.get(1), instanceOf(ForwardOutcome.Answered.class));
@@ -218,23 +222,23 @@
 
   @Test
   void aRequestWhoseTrialCrashesAServerIsHeldBackUntilTheNextTrial() {
-    askAndCrash("/p");
+    submitAndCrash("/p");
     timers.advance(4_000);
-    askAndCrash("/p");
+    submitAndCrash("/p");
     assertThat(sent, hasSize(3));
     timers.advance(20_000);
-    ask("/p");
+    submit("/p");
     assertThat(sent, hasSize(3));
     timers.advance(20_000);
-    ask("/p");
+    submit("/p");
     assertThat(sent, hasSize(4));
   }
 
   @Test
   void anAttemptAtAFullServerDoesNotConsumeATrial() {
-    askAndCrash("/p");
+    submitAndCrash("/p");
     timers.advance(4_000);
-    ask("/p");
+    submit("/p");
     last().refuse();
     timers.advance(20);
     assertThat("another server is asked", sent, hasSize(4));
@@ -244,32 +248,32 @@
 
   @Test
   void aRequestThatCrashedAServerIsNotHedged() {
-    ask("/p");
+    submit("/p");
     last().crash();
     timers.advance(5);
     assertThat(sent, hasSize(2));
     timers.advance(4 * HEDGE_MILLIS);
     assertThat("no hedged attempt is sent", sent, hasSize(2));
-    ask("/other");
+    submit("/other");
     timers.advance(HEDGE_MILLIS);
     assertThat("other requests are still hedged", sent, hasSize(4));
   }
 
   @Test
   void afterASuspensionNoRequestIsSentPastItsDeadline() {
-    ask("/p");
+    submit("/p");
     timers.suspend(5_000);
     last().refuse();
     timers.advance(50);
     assertThat(sent, hasSize(1));
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.NotRun.class));
-    ask("/q");
+    submit("/q");
     timers.suspend(500);
     last().refuse();
     timers.advance(50);
     assertThat(sent, hasSize(3));
     assertThat(last().call().deadlineMillis() <= DEADLINE_MILLIS - 500, is(true));
-    ask("/r");
+    submit("/r");
     timers.suspend(5_000);
     last().succeed();
     assertThat(
@@ -280,7 +284,7 @@
   @Test
   void aFinishedRequestLeavesNoTimer() {
     int before = timers.pending();
-    ask("/p");
+    submit("/p");
     assertThat(timers.pending(), greaterThan(before));
     last().succeed();
     assertThat(timers.pending(), equalTo(before));
@@ -288,7 +292,7 @@
 
   @Test
   void aBodyThatIsHeldBackFromOneServerGoesToAnotherWithoutMarkingTheFirstAsFailed() {
-    ask("/p");
+    submit("/p");
     String first = last().server();
     last().fail(PlatformException.Kind.HELD_BACK);
     timers.advance(20);
@@ -297,32 +301,32 @@
     last().succeed();
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.Answered.class));
     timers.advance(100);
-    ask("/q");
+    submit("/q");
     assertThat(last().server(), equalTo(first));
   }
 
   @Test
   void aBodyThatIsHeldBackFromAllServersWasNotRun() {
-    ask("/p");
+    submit("/p");
     for (int i = 0; i < 10 && outcomes.isEmpty(); i++) {
       last().fail(PlatformException.Kind.HELD_BACK);
       timers.advance(20);
     }
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.NotRun.class));
-    assertThat(began, hasSize(0));
+    assertThat(requestsBegun, hasSize(0));
   }
 
   @Test
   void aDroppedAnswerHasAnUnknownOutcomeAndIsNotRetried() {
-    ask("/p");
+    submit("/p");
     String server = last().server();
     last().fail(PlatformException.Kind.ANSWER_DROPPED);
     timers.advance(4 * HEDGE_MILLIS);
     assertThat(sent, hasSize(1));
     assertThat(outcomes.get(0), instanceOf(ForwardOutcome.Unknown.class));
-    assertThat("it counts as run", began, hasSize(1));
-    assertThat(checks, equalTo(0));
-    ask("/q");
+    assertThat("it counts as run", requestsBegun, hasSize(1));
+    assertThat(crashChecks, equalTo(0));
+    submit("/q");
     assertThat(last().server(), equalTo(server));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -53,7 +53,7 @@
 
   private static final int NODES = 80;
   private static final int SERVERS = 12;
-  private static final int PLACES = 6;
+  private static final int SLOTS_PER_SERVER = 6;
   private static final long DEADLINE_MILLIS = 1_500;
   private static final long HEDGE_MILLIS = 150;
   private final ManualTimers timers = new ManualTimers();
@@ -64,12 +64,12 @@
   private List<MemberBeat> nodes =
       Stream.concat(Stream.of(SELF), IntStream.range(0, NODES).mapToObj(i -> "n" + i))
           .distinct()
-          .map(SubsetForwardTest::beat)
+          .map(SubsetForwardTest::heartbeat)
           .toList();
   private RequestForwarder forwarder;
   private ServerSubset subset;
 
-  private record Sent(String server, boolean isAnew, UniEmitter<? super Answer> answer) {
+  private record Sent(String server, boolean isNewConnection, UniEmitter<? super Answer> answer) {
     void succeed() {
       answer.complete(new Answer(200, false, "signed", List.of(), new byte[0]));
     }
@@ -78,7 +78,7 @@
       answer.complete(new Answer(503, true, "", List.of(), new byte[0]));
     }
 
-    void isUnreachable() {
+    void failUnreachable() {
       answer.fail(new PlatformException(PlatformException.Kind.NOT_RUN, "refused"));
     }
   }
@@ -104,14 +104,14 @@
     }
   }
 
-  private static MemberBeat beat(String node) {
+  private static MemberBeat heartbeat(String node) {
     return new MemberBeat(node, node + ":1", "z", 1, true, 0, 500, 0, 0);
   }
 
   private static ServerEntry entry(int i, boolean isReady) {
     String id = "s" + i;
     return new ServerEntry(
-        ServerStart.of(id), "s", id + ":1", "z" + i % 3, PLACES, isReady, Map.of());
+        ServerStart.of(id), "s", id + ":1", "z" + i % 3, SLOTS_PER_SERVER, isReady, Map.of());
   }
 
   @BeforeEach
@@ -146,7 +146,7 @@
   private ServerSubset subset() {
     return ServerSubset.of(
         new Member(SELF, "z"),
-        nodes.stream().map(beat -> new Member(beat.node(), beat.zone())).toList(),
+        nodes.stream().map(heartbeat -> new Member(heartbeat.node(), heartbeat.zone())).toList(),
         IntStream.range(0, SERVERS).mapToObj(i -> entry(i, true)).toList());
   }
 
@@ -160,7 +160,7 @@
         .collect(Collectors.toSet());
   }
 
-  private void ask() {
+  private void submit() {
     Route route =
         new Route(
             "r",
@@ -185,23 +185,23 @@
     return sent.get(sent.size() - 1);
   }
 
-  private Set<String> used() {
+  private Set<String> usedServers() {
     return sent.stream().map(Sent::server).collect(Collectors.toSet());
   }
 
   @Test
   void aNodeWithFewRequestsUsesItsFirstChoiceOnly() {
     for (int i = 0; i < 50; i++) {
-      ask();
+      submit();
       last().succeed();
     }
-    assertThat(used(), contains(preferred(0)));
+    assertThat(usedServers(), contains(preferred(0)));
     assertThat(metrics.subsetsWidened.count(), is(0.0));
   }
 
   @Test
   void theFirstChoiceStaysWhileItIsInTheSubsetAndOnlyNodesLeave() {
-    ask();
+    submit();
     last().succeed();
     String first = preferred(0);
     List<MemberBeat> all = nodes;
@@ -211,17 +211,17 @@
       subset = subset();
       if (inSubset().contains(first)) {
         others += preferred(0).equals(first) ? 0 : 1;
-        ask();
+        submit();
         last().succeed();
       }
     }
     assertThat("fleets that give another first choice", others, greaterThan(0));
-    assertThat(used(), contains(first));
+    assertThat(usedServers(), contains(first));
   }
 
   @Test
   void theFirstChoiceStaysWhenAServerLoadsNewWeights() {
-    ask();
+    submit();
     last().succeed();
     String first = preferred(0);
     List<MemberBeat> all = nodes;
@@ -231,27 +231,27 @@
       nodes = all.subList(0, left);
       subset = subset();
     }
-    ask();
+    submit();
     last().succeed();
-    ServerEntry told = entry(SERVERS - 1, true).withAtLeast(Map.of("model", 2L));
-    list(told);
+    ServerEntry updated = entry(SERVERS - 1, true).withAtLeast(Map.of("model", 2L));
+    list(updated);
     timers.advance(10);
-    ask();
+    submit();
     last().succeed();
-    assertThat(used(), contains(first));
+    assertThat(usedServers(), contains(first));
   }
 
   @Test
   void fewConcurrentRequestsStayInTheSubset() {
-    IntStream.range(0, 4).forEach(i -> ask());
-    assertThat(used(), everyItem(is(in(inSubset()))));
+    IntStream.range(0, 4).forEach(i -> submit());
+    assertThat(usedServers(), everyItem(is(in(inSubset()))));
   }
 
   @Test
   void aNodeWithManyConcurrentRequestsUsesAsManyServersAsItNeeds() {
     for (int burst = 0; burst < 6; burst++) {
       int from = sent.size();
-      IntStream.range(0, 12).forEach(i -> ask());
+      IntStream.range(0, 12).forEach(i -> submit());
       List.copyOf(sent.subList(from, sent.size())).forEach(Sent::succeed);
       timers.advance(1_000);
     }
@@ -263,15 +263,15 @@
 
   @Test
   void theSubsetShrinksAfterABurst() {
-    IntStream.range(0, 12).forEach(i -> ask());
+    IntStream.range(0, 12).forEach(i -> submit());
     List.copyOf(sent).forEach(Sent::succeed);
     timers.advance(11_000);
     sent.clear();
     for (int i = 0; i < 20; i++) {
-      ask();
+      submit();
       last().succeed();
     }
-    assertThat(used(), contains(preferred(0)));
+    assertThat(usedServers(), contains(preferred(0)));
   }
 
   @Test
@@ -279,13 +279,13 @@
     int first = Integer.parseInt(preferred(0).substring(1));
     list(entry(first, false));
     timers.advance(10);
-    ask();
+    submit();
     last().succeed();
-    assertThat(used(), not(hasItem(preferred(0))));
+    assertThat(usedServers(), not(hasItem(preferred(0))));
     String second = last().server();
     tables.add("servers", List.of(new Entry(second, null)));
     timers.advance(10);
-    ask();
+    submit();
     last().succeed();
     assertThat(outcomes, hasSize(2));
     assertThat(new HashSet<>(List.of(preferred(0), second, last().server())), hasSize(3));
@@ -293,7 +293,7 @@
 
   @Test
   void aRequestThatTheWholeSubsetRefusesGoesToAnotherServerWithinItsAttempts() {
-    ask();
+    submit();
     for (int refused = 0; refused < 3; refused++) {
       last().refuse();
       timers.advance(15);
@@ -308,31 +308,31 @@
 
   @Test
   void aNodeWhoseSubsetIsUnreachableUsesOtherServersAndReturnsLater() {
-    ask();
+    submit();
     for (int i = 0; i < 3; i++) {
-      last().isUnreachable();
+      last().failUnreachable();
       timers.advance(15);
     }
     last().succeed();
-    ask();
+    submit();
     assertThat("servers that just failed are not tried again", sent, hasSize(5));
     assertThat(last().server(), not(in(inSubset())));
     last().succeed();
     timers.advance(5_000);
-    ask();
+    submit();
     assertThat(last().server(), equalTo(preferred(0)));
   }
 
   @Test
   void aHedgedAttemptLeavesTheSubsetIfTheRestOfItIsNotUsable() {
-    ask();
+    submit();
     last().refuse();
     timers.advance(15);
-    last().isUnreachable();
+    last().failUnreachable();
     timers.advance(15);
     assertThat(last().server(), is(in(inSubset())));
     timers.advance(HEDGE_MILLIS);
-    assertThat(last().isAnew(), is(true));
+    assertThat(last().isNewConnection(), is(true));
     assertThat(last().server(), not(in(inSubset())));
     last().succeed();
     assertThat(outcomes, hasSize(1));
@@ -341,23 +341,23 @@
   @Test
   void aNodeThatKnowsNoOtherNodesUsesAllServers() {
     nodes = List.of();
-    IntStream.range(0, SERVERS * PLACES).forEach(i -> ask());
-    assertThat(used(), hasSize(SERVERS));
+    IntStream.range(0, SERVERS * SLOTS_PER_SERVER).forEach(i -> submit());
+    assertThat(usedServers(), hasSize(SERVERS));
   }
 
   @Test
   void aRequestIsStillSentWhenAllServersHaveFailed() {
     for (int i = 0; i < 3; i++) {
-      ask();
+      submit();
       IntStream.range(0, 6)
           .forEach(
               refused -> {
-                last().isUnreachable();
+                last().failUnreachable();
                 timers.advance(15);
               });
     }
     int before = sent.size();
-    ask();
+    submit();
     assertThat(sent, hasSize(before + 1));
   }
 }
