--- a/node/src/main/java/org/passhaven/node/gateway/AdmissionLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/AdmissionLogger.java
@@ -9,7 +9,7 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Logs requests that admission control queues or rejects. Not thread-safe. */
-final class AdmissionLog {
+final class AdmissionLogger {
   private static final Logger LOG = LoggerFactory.getLogger(RequestAdmission.class);
   private static final long SECOND_MILLIS = 1_000;
 
--- a/node/src/main/java/org/passhaven/node/gateway/Directory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Directory.java
@@ -164,9 +164,9 @@
       }
       try {
         if (documents.isConfiguration(key)) {
-          putInForce(documents.configuration(value));
+          apply(documents.configuration(value));
         } else {
-          documents.namedVersion(key, value).forEach(this::name);
+          documents.namedVersion(key, value).forEach(this::onVersionAnnounced);
         }
       } catch (DocumentException e) {
         context.metrics().documentsUnreadable.increment();
@@ -177,7 +177,7 @@
       }
     }
 
-    private void putInForce(RouteTable table) {
+    private void apply(RouteTable table) {
       if (table.version() <= routes.version()) {
         return;
       }
@@ -196,7 +196,7 @@
       return millis.isPresent() ? Long.toString(millis.getAsLong()) : "";
     }
 
-    private void name(String model, long version) {
+    private void onVersionAnnounced(String model, long version) {
       NamedVersion before = named.get(model);
       if (before == null || version > before.version()) {
         named.put(model, new NamedVersion(version, context.now()));
@@ -223,7 +223,7 @@
         servers.remove(key);
         unreadable.remove(key);
       } else {
-        put(key, value);
+        parseAndStore(key, value);
       }
       ServerEntry after = servers.listed(key);
       if (!Objects.equals(before, after)) {
@@ -233,7 +233,7 @@
     }
 
     /** Stores an entry; an unreadable one removes the earlier entry of the same key. */
-    private void put(String key, byte[] value) {
+    private void parseAndStore(String key, byte[] value) {
       try {
         servers.put(documents.server(key, value));
         unreadable.remove(key);
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -73,7 +73,7 @@
   }
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
-  void renew() {
+  void restartReads() {
     tail.renew();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -66,7 +66,7 @@
             this::acceptingNodes,
             crashes,
             (tenant, sentAtMillis) ->
-                meter.ifPresent(usageMeter -> usageMeter.onBegan(tenant, sentAtMillis)));
+                meter.ifPresent(usageMeter -> usageMeter.onRunStarted(tenant, sentAtMillis)));
     this.members =
         new MemberAgent(
             context,
@@ -105,7 +105,7 @@
   private void renewReads() {
     directory.renew();
     crashes.renew();
-    duties.renew();
+    duties.restartReads();
   }
 
   /** Returns whether a failure of this node must be detected quickly. */
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -23,7 +23,7 @@
   private final GatewayContext context;
   private final Directory directory;
   private final Function<String, List<ServerEntry>> candidates;
-  private final AdmissionLog log = new AdmissionLog();
+  private final AdmissionLogger log = new AdmissionLogger();
   private final Map<String, Service> services = new HashMap<>();
   private long nextId;
   private boolean stopping;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -54,7 +54,7 @@
   /** Receives the requests that servers began to run. */
   interface RunListener {
     /** Called once for each request; the time of sending is in monotonic milliseconds. */
-    void onBegan(String tenant, long sentAtMillis);
+    void onRunStarted(String tenant, long sentAtMillis);
   }
 
   /**
@@ -128,7 +128,7 @@
     private final long startedAtMillis = context.now();
     private final long lostAtStartMillis = lostToClockJumpsMillis();
     private final ForwardAttempts attempts;
-    private final ForwardLog log;
+    private final RequestLogger log;
     private Timers.Timer deadlineTimer;
     private boolean isReportedAsRun;
     private boolean done;
@@ -141,7 +141,7 @@
       this.service = rotation.next(route);
       this.slot = admission.newSlot(route, call, service, source, plan.deadlineMillis());
       this.attempts = new ForwardAttempts(context, health, call, plan, this);
-      this.log = new ForwardLog(context, directory, route, call, service, startedAtMillis);
+      this.log = new RequestLogger(context, directory, route, call, service, startedAtMillis);
     }
 
     void start() {
@@ -269,7 +269,7 @@
     private void reportRunOnce(long sentAtMillis) {
       if (!isReportedAsRun) {
         isReportedAsRun = true;
-        runListener.onBegan(call.tenant(), sentAtMillis);
+        runListener.onRunStarted(call.tenant(), sentAtMillis);
       }
     }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
@@ -10,7 +10,7 @@
 import org.slf4j.event.Level;
 
 /** Logs the failed attempts of one request and the reason for its final failure. */
-final class ForwardLog {
+final class RequestLogger {
   private static final Logger LOG = LoggerFactory.getLogger(RequestForwarder.class);
   private final GatewayContext context;
   private final Directory directory;
@@ -20,7 +20,7 @@
   private final long startedAtMillis;
   private String lastFailureReason = "";
 
-  ForwardLog(
+  RequestLogger(
       GatewayContext context,
       Directory directory,
       Route route,
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -61,12 +61,12 @@
   }
 
   /** Returns the newest window whose counts are due to be made final. */
-  long newestDue(long nowMillis) {
+  long newestDueWindow(long nowMillis) {
     return settings.newestDue(trueTime.at(nowMillis));
   }
 
   /** Counts a request that a server began to run; the time is in monotonic milliseconds. */
-  void onBegan(String tenant, long sentAtMillis) {
+  void onRunStarted(String tenant, long sentAtMillis) {
     if (!tenant.isEmpty()) {
       counter.onBegan(tenant, settings.windowAt(trueTime.at(sentAtMillis)));
     }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -53,7 +53,7 @@
 
   @Override
   public boolean isNeeded(long nowMillis) {
-    return reports.isNeeded(meter.newestDue(nowMillis));
+    return reports.isNeeded(meter.newestDueWindow(nowMillis));
   }
 
   @Override
@@ -102,7 +102,7 @@
     if (reports.nextToReport().isPresent()) {
       send(reports.nextToReport().get(), nowMillis);
     } else if (nowMillis - lastFixedMillis >= FIX_RETRY_DELAY_MILLIS && !isReading) {
-      OptionalLong window = reports.nextToFix(meter.newestDue(nowMillis));
+      OptionalLong window = reports.nextToFix(meter.newestDueWindow(nowMillis));
       window.ifPresent(this::readThenFix);
     }
   }
@@ -165,7 +165,7 @@
         .addKeyValue("window", usage.window())
         .addKeyValue("tenants", usage.counts().size())
         .addKeyValue("requests", usage.counts().values().stream().mapToLong(Long::longValue).sum())
-        .addKeyValue("windowsBehind", meter.newestDue(context.now()) - usage.window())
+        .addKeyValue("windowsBehind", meter.newestDueWindow(context.now()) - usage.window())
         .addKeyValue("tookMillis", context.now() - sentAtMillis)
         .addKeyValue("fence", usage.fence())
         .log("usage: window reported");
--- a/node/src/test/java/org/passhaven/node/gateway/MemberAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -24,7 +24,7 @@
  * Guards against wrong liveness decisions after restarts, clock jumps and outages of the log, and
  * against heartbeats at the wrong period.
  */
-class MemberAgentTest {
+class MembershipAgentTest {
   private static final String STREAM = "members.0";
   private static final long STARTUP_MILLIS = 6_000;
   private final ManualTimers timers = new ManualTimers();
