--- a/node/src/main/java/org/passhaven/node/gateway/NoteWriter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/BatchingTableWriter.java
@@ -10,15 +10,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes notes to a table, several in one call, and again until the store has taken them. */
-final class NoteWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(NoteWriter.class);
-  private static final long AGAIN_MILLIS = 300;
+/**
+ * Writes entries to a table in batches and retries until the store accepts them. Not thread-safe.
+ */
+final class BatchingTableWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(BatchingTableWriter.class);
+  private static final long RETRY_DELAY_MILLIS = 300;
   private final GatewayContext context;
   private final String table;
-  private final int mostUnwritten;
+  private final int maxUnwritten;
 
-  /** The newest of each key, the oldest first. */
+  /** Latest unwritten entry of each key, in insertion order. */
   private final Map<String, TableService.Entry> unwritten = new LinkedHashMap<>();
 
   private boolean isWriting;
@@ -26,44 +28,45 @@
   /**
    * Creates a writer.
    *
-   * @param mostUnwritten keys that wait for the store at most; the oldest are dropped
+   * @param table name of the table
+   * @param maxUnwritten maximum number of unwritten entries; above it the oldest are dropped
    */
-  NoteWriter(GatewayContext context, String table, int mostUnwritten) {
+  BatchingTableWriter(GatewayContext context, String table, int maxUnwritten) {
     this.context = Objects.requireNonNull(context, "context");
     this.table = Objects.requireNonNull(table, "table");
-    this.mostUnwritten = mostUnwritten;
+    this.maxUnwritten = maxUnwritten;
   }
 
-  /** Keys of notes that are not written yet. */
+  /** Returns the keys of entries that are not written yet. */
   Set<String> unwrittenKeys() {
     return unwritten.keySet();
   }
 
-  /** Writes notes soon; those without a value are removed. */
+  /** Queues entries for the next batch; an entry without a value deletes its key. */
   void write(List<TableService.Entry> entries) {
     entries.forEach(entry -> unwritten.put(entry.key(), entry));
-    while (unwritten.size() > mostUnwritten) {
+    while (unwritten.size() > maxUnwritten) {
       String oldest = unwritten.keySet().iterator().next();
       unwritten.remove(oldest);
       LOG.atWarn()
           .addKeyValue("table", table)
           .addKeyValue("key", oldest)
-          .log("notes: too many are unwritten, one is dropped");
+          .log("notes: too many unwritten entries, dropped the oldest");
     }
     if (!isWriting && !unwritten.isEmpty()) {
       isWriting = true;
-      // What several requests at one server have to tell goes in one call.
-      context.timers().after(1, this::writeOn);
+      // The delay lets entries of concurrent requests share one call.
+      context.timers().after(1, this::writeBatch);
     }
   }
 
-  private void writeOn() {
+  private void writeBatch() {
     List<TableService.Entry> batch = List.copyOf(unwritten.values());
     context
         .tables()
         .put(table, batch)
         .subscribe()
-        .with(written -> onWritten(batch), this::onNotWritten);
+        .with(written -> onWritten(batch), this::onWriteFailed);
   }
 
   private void onWritten(List<TableService.Entry> batch) {
@@ -71,16 +74,16 @@
     if (unwritten.isEmpty()) {
       isWriting = false;
     } else {
-      writeOn();
+      writeBatch();
     }
   }
 
-  private void onNotWritten(Throwable failure) {
+  private void onWriteFailed(Throwable failure) {
     LOG.atInfo()
         .addKeyValue("table", table)
         .addKeyValue("unwritten", unwritten.size())
         .addKeyValue("reason", PlatformException.from(failure).getMessage())
         .log("notes: can't be written");
-    context.timers().after(AGAIN_MILLIS, this::writeOn);
+    context.timers().after(RETRY_DELAY_MILLIS, this::writeBatch);
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -25,102 +25,105 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node knows, and tells the others, of requests under which servers have ended. Where the
- * store is away a node goes by what it has seen itself and tells it when the store is back.
+ * Tracks requests that are suspected of crashing servers and shares them with the other nodes
+ * through a table in the store. While the store is unavailable, a node relies on its own
+ * observations and writes them once the store is back. Not thread-safe.
  */
 public final class CrashLog {
   private static final Logger LOG = LoggerFactory.getLogger(CrashLog.class);
 
-  /** A claim is written and read back within some 20 ms where the store is sound. */
-  private static final long CLAIM_MILLIS = 400;
+  /** Time limit for writing a claim and reading it back. */
+  private static final long CLAIM_TIMEOUT_MILLIS = 400;
 
-  private static final long TIDY_MILLIS = 10_000;
+  private static final long CLEANUP_PERIOD_MILLIS = 10_000;
 
-  /** For each request that is known, one that comes and one that is forgotten. */
-  private static final int MOST_UNWRITTEN = 2 * CrashTable.MOST_SUSPECTS;
+  /** Room for one addition and one removal per suspect. */
+  private static final int MAX_UNWRITTEN_NOTES = 2 * CrashTable.MOST_SUSPECTS;
 
   private final GatewayContext context;
   private final CrashTable table = new CrashTable();
   private final TableFollower follower;
 
-  private final Map<String, List<UniEmitter<? super Void>>> claims = new HashMap<>();
-  private final ServerEnds ends;
-  private final NoteWriter writer;
+  private final Map<String, List<UniEmitter<? super Void>>> pendingClaims = new HashMap<>();
+  private final ServerCrashDetector crashDetector;
+  private final BatchingTableWriter writer;
 
   CrashLog(GatewayContext context, Directory directory) {
     this.context = Objects.requireNonNull(context, "context");
-    this.ends = new ServerEnds(context, directory, this::noteEnd);
-    this.writer = new NoteWriter(context, context.documents().crashTable(), MOST_UNWRITTEN);
+    this.crashDetector = new ServerCrashDetector(context, directory, this::recordCrash);
+    this.writer =
+        new BatchingTableWriter(context, context.documents().crashTable(), MAX_UNWRITTEN_NOTES);
     this.follower =
         new TableFollower(
             context.tables(),
             context.timers(),
             context.documents().crashTable(),
             () -> 0,
-            new NoteReader());
+            new NoteListener());
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the table and the servers. */
   void start() {
     follower.start();
-    ends.start();
-    context.timers().every(TIDY_MILLIS, this::tidy);
+    crashDetector.start();
+    context.timers().every(CLEANUP_PERIOD_MILLIS, this::removeExpired);
   }
 
-  /** What this node waits for may never come: reads are begun anew. */
+  /** Restarts the reads of the table, since pending ones may never be answered. */
   void renew() {
     follower.renew();
   }
 
-  /** Whether nothing is known of any request: then no fingerprint need be made. */
+  /** Returns whether no request is suspected, so that fingerprints need not be computed. */
   boolean isQuiet() {
     return table.isEmpty();
   }
 
-  /** Tells a request that comes again. */
+  /** Returns the fingerprint that identifies repetitions of a request. */
   static String fingerprintOf(Call call) {
     return RequestFingerprint.of(call.method(), call.host(), call.uri(), call.body());
   }
 
-  /** Whether a request may run now. */
+  /** Returns whether and how a request may run now. */
   Verdict verdict(String fingerprint) {
     return table.verdict(fingerprint, context.now());
   }
 
   /**
-   * Whether this node may run a request that is held back, once; the trial then counts as taken.
+   * Takes the trial of a held request if this node holds its claim. Returns whether this node may
+   * run the request once.
    */
   boolean takeTrial(String fingerprint) {
     return table.takeTrial(fingerprint, context.settings().node(), context.incarnation());
   }
 
-  /** No server ran the request in the trial that was taken. */
+  /** Returns a taken trial in which no server ran the request. */
   void giveTrialBack(String fingerprint) {
     table.giveTrialBack(fingerprint);
   }
 
   /**
-   * Claims the trial that is due; gives a result when it is known who has it, or that can't be
-   * known soon. {@link #takeTrial} then tells whether it is this node.
+   * Claims the trial that is due. Completes when the holder of the trial is known or the time limit
+   * is reached; {@link #takeTrial} then returns whether this node holds it.
    */
   Uni<Void> claimTrial(String fingerprint, int number) {
     Uni<Void> claimed =
         Uni.createFrom()
             .emitter(
                 emitter -> {
-                  boolean isFirst = !claims.containsKey(fingerprint);
-                  claims.computeIfAbsent(fingerprint, key -> new ArrayList<>()).add(emitter);
+                  boolean isFirst = !pendingClaims.containsKey(fingerprint);
+                  pendingClaims.computeIfAbsent(fingerprint, key -> new ArrayList<>()).add(emitter);
                   if (isFirst) {
                     writeClaim(fingerprint, number);
                   }
                 });
     return context
         .timers()
-        .limit(claimed, CLAIM_MILLIS, "trial")
+        .limit(claimed, CLAIM_TIMEOUT_MILLIS, "trial")
         .onFailure()
         .recoverWithNull()
         .onTermination()
-        .invoke(() -> claims.remove(fingerprint));
+        .invoke(() -> pendingClaims.remove(fingerprint));
   }
 
   private void writeClaim(String fingerprint, int number) {
@@ -141,52 +144,52 @@
                 LOG.atInfo()
                     .addKeyValue("fingerprint", fingerprint)
                     .addKeyValue("reason", PlatformException.from(failure).getMessage())
-                    .log("crash: a claim failed"));
+                    .log("crash: writing a trial claim failed"));
   }
 
   /**
-   * A run of a request broke off at a server. Gives a result when it is known whether the server
-   * has ended, or can't be known soon.
+   * Handles the interruption of a request at a server. Completes when it is known whether the
+   * server crashed, or when that can't be determined soon.
    */
   Uni<Void> onBroken(String fingerprint, ServerEntry server) {
-    return ends.onBroken(fingerprint, server);
+    return crashDetector.onInterrupted(fingerprint, server);
   }
 
-  private void noteEnd(String fingerprint, ServerStart server) {
+  private void recordCrash(String fingerprint, ServerStart server) {
     CrashNote.Ended note = new CrashNote.Ended(fingerprint, server.toString());
-    int before = table.crashes(fingerprint);
-    take(note);
-    if (table.crashes(fingerprint) == before) {
+    int crashesBefore = table.crashes(fingerprint);
+    applyNote(note);
+    if (table.crashes(fingerprint) == crashesBefore) {
       return;
     }
     context.metrics().serversEndedUnderRequests.increment();
     LOG.atInfo()
         .addKeyValue("fingerprint", fingerprint)
         .addKeyValue("server", server)
-        .addKeyValue("crashes", before + 1)
+        .addKeyValue("crashes", crashesBefore + 1)
         .log("crash: a server ended under a request");
     writer.write(List.of(entryOf(note)));
   }
 
-  private void take(CrashNote note) {
+  private void applyNote(CrashNote note) {
     table.onNote(note, context.now());
     if (table.isOverfull()) {
-      tidy();
+      removeExpired();
     }
   }
 
-  /** A run of the request ended well: it does not crash servers. */
+  /** Clears a request of suspicion after it completed successfully. */
   void onSound(String fingerprint) {
     if (table.contains(fingerprint)) {
-      forget(fingerprint, "a run ended well");
+      forgetRequest(fingerprint, "a run ended well");
     }
   }
 
-  private void forget(String fingerprint, String why) {
+  private void forgetRequest(String fingerprint, String reason) {
     LOG.atInfo()
         .addKeyValue("fingerprint", fingerprint)
         .addKeyValue("crashes", table.crashes(fingerprint))
-        .addKeyValue("why", why)
+        .addKeyValue("why", reason)
         .log("crash: request forgotten");
     List<TableService.Entry> removals =
         table.keysOf(fingerprint).stream().map(key -> new TableService.Entry(key, null)).toList();
@@ -194,15 +197,15 @@
     writer.write(removals);
   }
 
-  private void tidy() {
-    table.due(context.now()).forEach(fingerprint -> forget(fingerprint, "old, or too many"));
+  private void removeExpired() {
+    table.due(context.now()).forEach(fingerprint -> forgetRequest(fingerprint, "old, or too many"));
   }
 
   private static TableService.Entry entryOf(CrashNote note) {
     return new TableService.Entry(note.key(), Codec.encode(note));
   }
 
-  private final class NoteReader implements TableFollower.Listener {
+  private final class NoteListener implements TableFollower.Listener {
     @Override
     public void onDocument(String key, byte[] value) {
       if (value == null) {
@@ -211,9 +214,9 @@
       }
       try {
         CrashNote note = Codec.decode(value, CrashNote.class);
-        take(note);
+        applyNote(note);
         if (note instanceof CrashNote.Trial trial) {
-          answerClaims(trial);
+          completeClaims(trial);
         }
       } catch (CodecException e) {
         LOG.atError()
@@ -223,8 +226,8 @@
       }
     }
 
-    private void answerClaims(CrashNote.Trial trial) {
-      List<UniEmitter<? super Void>> waiting = claims.remove(trial.fingerprint());
+    private void completeClaims(CrashNote.Trial trial) {
+      List<UniEmitter<? super Void>> waiting = pendingClaims.remove(trial.fingerprint());
       if (waiting != null) {
         waiting.forEach(emitter -> emitter.complete(null));
       }
--- a/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
@@ -12,24 +12,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One change of a job on its way to the log: appended, in as many calls as its size needs, until it
- * is acknowledged or read back, or the time is over.
+ * Appends one change of a job to the log and retries until the log acknowledges it, the change is
+ * read back, or the time limit is reached. Large changes are split over several append calls. Used
+ * for one change only; not thread-safe.
  */
 final class DurableAppend {
   private static final Logger LOG = LoggerFactory.getLogger(DurableAppend.class);
-  private static final long RETRY_MILLIS = 120;
-  private static final long REFUSED_RETRY_AFTER_MILLIS = 300;
+  private static final long RETRY_DELAY_MILLIS = 120;
+  private static final long REFUSAL_RETRY_AFTER_MILLIS = 300;
 
-  /** What a record adds to its content in a call. */
+  /** Upper bound of the encoding overhead of one record. */
   static final int RECORD_OVERHEAD_BYTES = 1_024;
 
   /**
-   * What is to be in the log.
+   * A change to append.
    *
-   * @param records the change's records in order; one that is appended again changes nothing
-   * @param wanted what folding them does to the job
+   * @param stream stream that receives the records
+   * @param job id of the changed job
+   * @param records encoded records in order; appending one twice has no further effect
+   * @param expectedEffect effect of the records on the job table
    */
-  record Change(String stream, String job, List<byte[]> records, JobTable.Effect wanted) {
+  record Change(String stream, String job, List<byte[]> records, JobTable.Effect expectedEffect) {
     Change {
       records = List.copyOf(records);
     }
@@ -39,70 +42,72 @@
   private final JobLog log;
   private final JobWaiters waiters;
   private final Change change;
-  private final Runnable onNews = this::awaitFold;
-  private final long beganAtMillis;
+  private final Runnable onJobChange = this::awaitEffect;
+  private final long startedAtMillis;
   private UniEmitter<? super JobOutcome> emitter;
   private int maxCallBytes;
-  private int nextRecord;
-  private int tries;
-  private boolean underWay;
-  private boolean mayBeDone;
-  private boolean done;
+  private int nextRecordIndex;
+  private int attempts;
+  private boolean isInFlight;
+  private boolean mayBeAppended;
+  private boolean isFinished;
 
   DurableAppend(GatewayContext context, JobLog log, JobWaiters waiters, Change change) {
     this.context = Objects.requireNonNull(context, "context");
     this.log = Objects.requireNonNull(log, "log");
     this.waiters = Objects.requireNonNull(waiters, "waiters");
     this.change = Objects.requireNonNull(change, "change");
-    this.beganAtMillis = context.now();
+    this.startedAtMillis = context.now();
     this.maxCallBytes = context.settings().mostAppendBytes() - RECORD_OVERHEAD_BYTES;
   }
 
-  /** Begins; gives the outcome within {@code limitMillis}, whether somebody waits for it or not. */
-  Uni<JobOutcome> begin(long limitMillis) {
+  /**
+   * Starts to append. Returns the outcome, which is known after {@code limitMillis} at the latest.
+   */
+  Uni<JobOutcome> start(long limitMillis) {
     return Uni.createFrom()
         .emitter(
-            waiting -> {
-              emitter = waiting;
-              context.timers().after(Math.max(1, limitMillis), this::giveUp);
-              awaitFold();
-              tryNext();
+            outcomeEmitter -> {
+              emitter = outcomeEmitter;
+              context.timers().after(Math.max(1, limitMillis), this::onTimeout);
+              awaitEffect();
+              appendNextBatch();
             });
   }
 
-  private void awaitFold() {
-    if (done) {
+  private void awaitEffect() {
+    if (isFinished) {
       return;
     }
-    if (isInEffect()) {
+    if (hasTakenEffect()) {
       finish(new JobOutcome.Done(), "read back");
       return;
     }
-    waiters.add(change.job(), onNews);
+    waiters.add(change.job(), onJobChange);
   }
 
-  private boolean isInEffect() {
+  private boolean hasTakenEffect() {
     Job job = log.table().get(change.job());
-    return job != null && (change.wanted() == JobTable.Effect.ACCEPTED || job.ended());
+    return job != null && (change.expectedEffect() == JobTable.Effect.ACCEPTED || job.ended());
   }
 
-  private void tryNext() {
-    if (done) {
+  private void appendNextBatch() {
+    if (isFinished) {
       return;
     }
-    tries++;
-    underWay = true;
+    attempts++;
+    isInFlight = true;
     List<byte[]> batch = nextBatch();
     log.append(change.stream(), batch)
         .subscribe()
         .with(offset -> onAppended(batch.size()), failure -> onFailure(batch, failure));
   }
 
-  /** As many of the next records as a call may hold, at least one. */
+  /** Returns the next records that fit into one append call, at least one. */
   private List<byte[]> nextBatch() {
     List<byte[]> batch = new ArrayList<>();
     int bytes = 0;
-    for (byte[] record : change.records().subList(nextRecord, change.records().size())) {
+    for (byte[] record : change.records().subList(nextRecordIndex, change.records().size())) {
       bytes += record.length;
       if (!batch.isEmpty() && bytes > maxCallBytes) {
         break;
@@ -113,51 +118,52 @@
   }
 
   private void onAppended(int records) {
-    underWay = false;
-    mayBeDone = true;
-    nextRecord += records;
-    if (nextRecord < change.records().size()) {
-      tryNext();
+    isInFlight = false;
+    mayBeAppended = true;
+    nextRecordIndex += records;
+    if (nextRecordIndex < change.records().size()) {
+      appendNextBatch();
     } else {
       finish(new JobOutcome.Done(), "acknowledged");
     }
   }
 
   private void onFailure(List<byte[]> batch, Throwable failure) {
-    underWay = false;
-    boolean isUnknown = PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN;
-    mayBeDone |= isUnknown;
-    if (isUnknown) {
-      // It may have been too long for the way there: the same again would be lost again.
+    isInFlight = false;
+    boolean isOutcomeUnknown =
+        PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN;
+    mayBeAppended |= isOutcomeUnknown;
+    if (isOutcomeUnknown) {
+      // The call may have timed out because of its size: retry with a smaller batch.
       maxCallBytes = batch.stream().mapToInt(record -> record.length).sum() / 2;
     }
-    if (!done) {
-      context.timers().after(RETRY_MILLIS, this::tryNext);
+    if (!isFinished) {
+      context.timers().after(RETRY_DELAY_MILLIS, this::appendNextBatch);
     }
   }
 
-  private void giveUp() {
-    if (mayBeDone || underWay) {
+  private void onTimeout() {
+    if (mayBeAppended || isInFlight) {
       finish(new JobOutcome.Unknown("the log gave no answer"), "unknown");
     } else {
       finish(
-          new JobOutcome.Refused("the log takes nothing now", REFUSED_RETRY_AFTER_MILLIS),
+          new JobOutcome.Refused("the log takes nothing now", REFUSAL_RETRY_AFTER_MILLIS),
           "refused");
     }
   }
 
-  private void finish(JobOutcome outcome, String how) {
-    if (done) {
+  private void finish(JobOutcome outcome, String resolution) {
+    if (isFinished) {
       return;
     }
-    done = true;
-    waiters.remove(change.job(), onNews);
+    isFinished = true;
+    waiters.remove(change.job(), onJobChange);
     LOG.atInfo()
         .addKeyValue("job", change.job())
-        .addKeyValue("wanted", change.wanted())
-        .addKeyValue("outcome", how)
-        .addKeyValue("tries", tries)
-        .addKeyValue("tookMillis", context.now() - beganAtMillis)
+        .addKeyValue("wanted", change.expectedEffect())
+        .addKeyValue("outcome", resolution)
+        .addKeyValue("tries", attempts)
+        .addKeyValue("tookMillis", context.now() - startedAtMillis)
         .log("job: append decided");
     emitter.complete(outcome);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashes.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -9,15 +9,18 @@
 import org.passhaven.protocol.job.JobSubmission;
 import org.passhaven.spi.BackEndException;
 
-/** Keeps items from servers that have crashed servers before. */
-final class ItemCrashes implements ItemGate {
+/**
+ * Holds back batch items whose requests are suspected of crashing servers, until {@link CrashLog}
+ * allows a trial.
+ */
+final class ItemCrashGate implements ItemGate {
   private final CrashLog crashes;
-  private final Runnable decideSoon;
-  private final Set<String> claiming = new HashSet<>();
+  private final Runnable scheduleDecision;
+  private final Set<String> pendingClaims = new HashSet<>();
 
-  ItemCrashes(CrashLog crashes, Runnable decideSoon) {
+  ItemCrashGate(CrashLog crashes, Runnable scheduleDecision) {
     this.crashes = crashes;
-    this.decideSoon = decideSoon;
+    this.scheduleDecision = scheduleDecision;
   }
 
   private static String fingerprintOf(JobSubmission job, JobItem item) {
@@ -34,7 +37,7 @@
       return true;
     }
     Verdict verdict = crashes.verdict(fingerprint);
-    if (verdict instanceof Verdict.TrialDue due && claiming.add(fingerprint)) {
+    if (verdict instanceof Verdict.TrialDue due && pendingClaims.add(fingerprint)) {
       crashes
           .claimTrial(fingerprint, due.number())
           .subscribe()
@@ -44,18 +47,18 @@
   }
 
   private void onClaimed(String fingerprint) {
-    claiming.remove(fingerprint);
-    decideSoon.run();
+    pendingClaims.remove(fingerprint);
+    scheduleDecision.run();
   }
 
-  /** A server made an item's whole text. */
-  void onWhole(JobAction.Start start) {
+  /** Clears an item of suspicion after a server generated its complete text. */
+  void onCompleted(JobAction.Start start) {
     if (!crashes.isQuiet()) {
       crashes.onSound(fingerprintOf(start.job(), start.item()));
     }
   }
 
-  /** A generation ended without its whole text. */
+  /** Handles a generation that failed before its text was complete. */
   void onFailed(JobAction.Start start, BackEndException.Kind kind) {
     switch (kind) {
       case CUT ->
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -29,64 +29,61 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** The jobs' partitions: follows them all into one fold, and appends to them. */
+/**
+ * Follows all partitions of the job log, applies their records to the {@link JobTable}, and appends
+ * records to them. Not thread-safe.
+ */
 public final class JobLog {
   private static final Logger LOG = LoggerFactory.getLogger(JobLog.class);
   private static final String STREAM_PREFIX = "jobs.";
   private static final String TEXT_STREAM_PREFIX = "results.";
-  private static final long RUNNER_PAUSE_MILLIS = 15;
-  private static final long FOLLOWER_PAUSE_MILLIS = 100;
+  private static final long OWNER_POLL_INTERVAL_MILLIS = 15;
+  private static final long FOLLOWER_POLL_INTERVAL_MILLIS = 100;
 
-  /** Pause where neither a caller nor a coming owner needs news: reads on demand look for it. */
-  private static final long IDLE_PAUSE_MILLIS = 2_000;
+  /** Poll interval of partitions without recent callers at this node and not on standby here. */
+  private static final long IDLE_POLL_INTERVAL_MILLIS = 2_000;
 
-  /**
-   * A caller that came this lately still waits here, or is likely to come again: a call waits for a
-   * second, and trainers read twice a second, each time at a node by chance. In a large fleet one
-   * that came earlier is at another node by now; whoever comes has the log read on demand.
-   */
-  private static final long CALLED_MILLIS = 1_200;
+  /** Time after a call for which the caller is expected to wait here or to call again. */
+  private static final long RECENT_CALL_MILLIS = 1_200;
 
   /**
-   * Candidates behind these may claim a run that was taken less than {@link #IDLE_PAUSE_MILLIS}
-   * ago, since they have not read so yet: their claims are void, a few appends for each new run.
+   * Number of first candidates for a partition that poll it as followers. Lower candidates poll at
+   * {@link #IDLE_POLL_INTERVAL_MILLIS} and may append void claims of runs that were just claimed.
    */
-  private static final int CLOSE_CANDIDATES = 6;
+  private static final int STANDBY_NODES = 6;
 
-  private static final long RANK_AGAIN_MILLIS = 2_000;
-  private static final long FORGET_PERIOD_MILLIS = 10_000;
+  private static final long RANKING_PERIOD_MILLIS = 2_000;
+  private static final long CLEANUP_PERIOD_MILLIS = 10_000;
 
-  /**
-   * Below the age at which claims are renewed where the log keeps records for some seconds only.
-   */
+  /** Period of the check for claims to renew. */
   private static final long RENEWAL_PERIOD_MILLIS = 1_000;
 
-  private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+  private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
   private static final LongHashFunction HASH = LongHashFunction.xx3();
   private final GatewayContext context;
   private final HistoryReads history;
-  private final ResultTexts texts;
+  private final ResultTextCache texts;
   private final JobTable table = new JobTable();
-  private final long[] calledAtMillis;
-  private final BitSet closeTo = new BitSet();
-  private long rankedAtMillis = LONG_AGO_MILLIS;
-  private BeatTable beats;
+  private final long[] lastCallAtMillis;
+  private final BitSet standbyPartitions = new BitSet();
+  private long lastRankedAtMillis = NEVER_MILLIS;
+  private BeatTable heartbeats;
   private final RunOwners owners;
   private final List<LogTail> tails = new ArrayList<>();
-  private final PartitionStarts starts;
+  private final PartitionStartScheduler startScheduler;
   private final Set<String> ownStreams = new HashSet<>();
   private final List<Runnable> ownerListeners = new ArrayList<>();
   private final List<BiConsumer<JobRecord.OfJob, JobTable.Effect>> listeners = new ArrayList<>();
 
-  /** Creates the log; {@link #start} begins to follow it. */
+  /** Creates the log; {@link #start} starts to follow it. */
   public JobLog(GatewayContext context) {
     this.context = Objects.requireNonNull(context, "context");
     this.history = new HistoryReads(context.log(), context.timers());
-    this.texts = new ResultTexts(context);
+    this.texts = new ResultTextCache(context);
     this.owners = new RunOwners(context.settings().node(), context.incarnation(), this::streamOf);
     int partitions = context.settings().jobPartitions();
-    this.calledAtMillis = new long[partitions];
-    Arrays.fill(calledAtMillis, Long.MIN_VALUE / 2);
+    this.lastCallAtMillis = new long[partitions];
+    Arrays.fill(lastCallAtMillis, Long.MIN_VALUE / 2);
     for (int partition = 0; partition < partitions; partition++) {
       int followed = partition;
       tails.add(
@@ -95,13 +92,13 @@
               context.timers(),
               history,
               STREAM_PREFIX + partition,
-              () -> pauseMillis(followed),
+              () -> pollIntervalMillis(followed),
               new PartitionReader(followed)));
     }
-    this.starts = new PartitionStarts(context, tails);
+    this.startScheduler = new PartitionStartScheduler(context, tails);
   }
 
-  /** Reads one partition. */
+  /** Applies the records of one partition. */
   private final class PartitionReader implements LogTail.Listener {
     private final int partition;
 
@@ -122,82 +119,85 @@
     }
   }
 
-  /** A node that runs nothing of a partition reads it less often, the less it is asked for it. */
-  private long pauseMillis(int partition) {
+  /** Returns the poll interval of a partition: owner, then caller or standby, then idle. */
+  private long pollIntervalMillis(int partition) {
     if (ownStreams.contains(STREAM_PREFIX + partition)) {
-      return RUNNER_PAUSE_MILLIS;
+      return OWNER_POLL_INTERVAL_MILLIS;
     }
-    boolean isCalled = context.now() - calledAtMillis[partition] < CALLED_MILLIS;
-    return isCalled || isCloseCandidate(partition) ? FOLLOWER_PAUSE_MILLIS : IDLE_PAUSE_MILLIS;
+    boolean isCalled = context.now() - lastCallAtMillis[partition] < RECENT_CALL_MILLIS;
+    return isCalled || isStandby(partition)
+        ? FOLLOWER_POLL_INTERVAL_MILLIS
+        : IDLE_POLL_INTERVAL_MILLIS;
   }
 
-  /** Whether this node runs some run. */
+  /** Returns whether this node owns any run. */
   boolean isRunner() {
     return !ownStreams.isEmpty();
   }
 
-  /** Whether a caller has lately come to this node for a job. */
+  /** Returns whether a caller recently used this node for a job. */
   boolean isCalled() {
-    return Arrays.stream(calledAtMillis)
-        .anyMatch(atMillis -> context.now() - atMillis < CALLED_MILLIS);
+    return Arrays.stream(lastCallAtMillis)
+        .anyMatch(atMillis -> context.now() - atMillis < RECENT_CALL_MILLIS);
   }
 
-  /** Whether this node is among the first that would take over a run with open jobs. */
+  /** Returns whether this node is on standby for a run with open jobs. */
   boolean isNextRunner() {
-    return beats != null
-        && table.open().stream()
-            .anyMatch(job -> isCloseCandidate(partitionOf(job.submission().run())));
+    return heartbeats != null
+        && table.open().stream().anyMatch(job -> isStandby(partitionOf(job.submission().run())));
   }
 
-  /** Whether this node is among the first that would take over a run. */
-  boolean isCloseCandidate(String run) {
-    return isCloseCandidate(partitionOf(run));
+  /** Returns whether this node is among the first candidates to take over a run. */
+  boolean isStandby(String run) {
+    return isStandby(partitionOf(run));
   }
 
-  private boolean isCloseCandidate(int partition) {
-    if (context.now() - rankedAtMillis >= RANK_AGAIN_MILLIS) {
-      rankedAtMillis = context.now();
-      closeTo.clear();
-      for (int each = 0; each < tails.size(); each++) {
+  private boolean isStandby(int partition) {
+    if (context.now() - lastRankedAtMillis >= RANKING_PERIOD_MILLIS) {
+      lastRankedAtMillis = context.now();
+      standbyPartitions.clear();
+      for (int index = 0; index < tails.size(); index++) {
         String node = context.settings().node();
-        closeTo.set(each, beats.rankOf(STREAM_PREFIX + each, node) < CLOSE_CANDIDATES);
+        standbyPartitions.set(
+            index, heartbeats.rankOf(STREAM_PREFIX + index, node) < STANDBY_NODES);
       }
     }
-    return closeTo.get(partition);
+    return standbyPartitions.get(partition);
   }
 
-  /** A caller has come for a job of a run: its partition is followed closely for a while. */
-  void onCall(String run) {
+  /** Polls a run's partition more often for a while, after a call for one of its jobs. */
+  void onCallerRequest(String run) {
     int partition = partitionOf(run);
-    calledAtMillis[partition] = context.now();
+    lastCallAtMillis[partition] = context.now();
     tails.get(partition).hurry();
   }
 
   /**
-   * Begins to follow all partitions from their beginnings, in the order of {@link PartitionStarts}.
+   * Starts to follow all partitions from offset zero, in the order of {@link
+   * PartitionStartScheduler}.
    *
-   * @param liveNodes live nodes, by which candidates are ranked
+   * @param liveNodes live nodes, among which candidates are ranked
    */
   public void start(BeatTable liveNodes) {
-    if (beats != null) {
+    if (heartbeats != null) {
       return;
     }
-    beats = Objects.requireNonNull(liveNodes, "liveNodes");
-    starts.schedule(beats);
-    context.timers().every(FORGET_PERIOD_MILLIS, this::forget);
+    heartbeats = Objects.requireNonNull(liveNodes, "liveNodes");
+    startScheduler.schedule(heartbeats);
+    context.timers().every(CLEANUP_PERIOD_MILLIS, this::removeExpiredJobs);
     context.timers().every(RENEWAL_PERIOD_MILLIS, this::renewClaims);
   }
 
-  /** The nodes behind which this one waited to read are gone. */
+  /** Ranks the candidates again and starts or polls earlier, after other nodes were lost. */
   void startSooner() {
-    if (beats != null) {
-      rankedAtMillis = LONG_AGO_MILLIS;
-      starts.schedule(beats);
+    if (heartbeats != null) {
+      lastRankedAtMillis = NEVER_MILLIS;
+      startScheduler.schedule(heartbeats);
       tails.forEach(LogTail::hurry);
     }
   }
 
-  /** Claims of this node are written again before the log drops them. */
+  /** Appends this node's claims again before the log's retention drops them. */
   private void renewClaims() {
     long renewMillis = context.settings().lease().renewMillis();
     for (JobRecord.RunTaken claim : owners.renewals(renewMillis, this::positionOf, context.now())) {
@@ -217,52 +217,52 @@
     return tails.get(Integer.parseInt(stream.substring(STREAM_PREFIX.length()))).position();
   }
 
-  /** The record to append if this node is to take a run now. */
+  /** Returns the claim to append if this node is the next owner of a run. */
   Optional<JobRecord.RunTaken> claim(String run) {
-    return owners.claim(run, beats, positionOf(streamOf(run)), context.now());
+    return owners.claim(run, heartbeats, positionOf(streamOf(run)), context.now());
   }
 
-  /** Calls {@code listener} with each record that changed a job. */
+  /** Adds a listener that receives each record that changed a job. */
   public void addListener(BiConsumer<JobRecord.OfJob, JobTable.Effect> listener) {
     listeners.add(listener);
   }
 
-  /** Calls {@code listener} when a run has got another runner. */
+  /** Adds a listener that runs when the owner of a run may have changed. */
   public void addOwnerListener(Runnable listener) {
     ownerListeners.add(listener);
   }
 
-  /** This node's reads of history. */
+  /** Returns the reads of history that this node's components share. */
   HistoryReads history() {
     return history;
   }
 
-  /** Texts of results. */
-  ResultTexts texts() {
+  /** Returns the cache of result texts. */
+  ResultTextCache texts() {
     return texts;
   }
 
-  /** Which node runs which run. */
+  /** Returns the owners of runs. */
   public RunOwners owners() {
     return owners;
   }
 
-  /** All jobs. */
+  /** Returns all known jobs. */
   public JobTable table() {
     return table;
   }
 
-  /** Whether all partitions were read to their ends once. */
+  /** Returns whether all partitions were read to their ends once. */
   public boolean isCaughtUp() {
     return tails.stream().allMatch(LogTail::isCaughtUp);
   }
 
-  /** Whether the partition that holds a run's jobs was read to its end once. */
+  /** Returns whether the partition of a run was read to its end once. */
   public boolean isCaughtUp(String run) {
     return tails.get(partitionOf(run)).isCaughtUp();
   }
 
-  /** Partitions that were never read to their ends, and how long the log has not answered there. */
+  /** Returns the streams never read to their ends, with the time since the log last answered. */
   public Map<String, String> behind() {
     Map<String, String> behind = new LinkedHashMap<>();
     for (LogTail tail : tails) {
@@ -275,7 +275,7 @@
     return behind;
   }
 
-  /** Items without a result in open jobs, by the model that generates them. */
+  /** Returns the number of items without a result in open jobs, by model. */
   public Map<String, Integer> openItemsByModel() {
     Map<String, Integer> open = new HashMap<>();
     for (Job job : table.open()) {
@@ -284,12 +284,12 @@
     return open;
   }
 
-  /** The stream that holds a run's jobs. */
+  /** Returns the stream that holds a run's jobs. */
   public String streamOf(String run) {
     return STREAM_PREFIX + partitionOf(run);
   }
 
-  /** The stream that holds the texts of a run's results. */
+  /** Returns the stream that holds the texts of a run's results. */
   public String textStreamOf(String run) {
     return TEXT_STREAM_PREFIX + partitionOf(run);
   }
@@ -298,14 +298,14 @@
     return Math.floorMod(HASH.hashChars(run), tails.size());
   }
 
-  /** Appends records that are encoded already. */
+  /** Appends encoded records to a stream. */
   public Uni<Long> append(String stream, List<byte[]> records) {
     return context.log().append(stream, records);
   }
 
   /**
-   * Looks whether a job exists that is not known here. Gives whether the answer is sure: every
-   * partition was read to an end later than the call.
+   * Reads all partitions on demand. Returns true if each was read to an end that is later than the
+   * call, so that a job still unknown here did not exist at that time.
    */
   public Uni<Boolean> refresh() {
     List<Uni<Boolean>> refreshed = tails.stream().map(LogTail::refresh).toList();
@@ -316,8 +316,8 @@
   }
 
   /**
-   * Looks for records of a run that are not known here. Gives whether the answer is sure: its
-   * partition was read to an end later than the call.
+   * Reads a run's partition on demand. Returns true if it was read to an end that is later than the
+   * call.
    */
   public Uni<Boolean> refresh(String run) {
     return tails.get(partitionOf(run)).refresh();
@@ -332,17 +332,17 @@
       return;
     }
     if (record instanceof JobRecord.RunTaken taken) {
-      onTaken(taken, tails.get(partition).position() - 1);
+      onRunClaimed(taken, tails.get(partition).position() - 1);
     } else if (record instanceof JobRecord.OfJob ofJob) {
       onJobRecord(ofJob);
     }
   }
 
-  private void onTaken(JobRecord.RunTaken taken, long offset) {
-    // What this node was told at its start is no sign that the runner is alive now.
-    boolean isNews = tails.get(partitionOf(taken.run())).isCaughtUp();
-    if (owners.apply(taken, offset, isNews ? context.now() : LONG_AGO_MILLIS)) {
-      LOG.atLevel(newsLevel())
+  private void onRunClaimed(JobRecord.RunTaken taken, long offset) {
+    // A claim read during the initial catch-up does not prove that the owner is alive now.
+    boolean isLive = tails.get(partitionOf(taken.run())).isCaughtUp();
+    if (owners.apply(taken, offset, isLive ? context.now() : NEVER_MILLIS)) {
+      LOG.atLevel(eventLogLevel())
           .addKeyValue("run", taken.run())
           .addKeyValue("epoch", taken.epoch())
           .addKeyValue("runner", taken.node())
@@ -352,8 +352,8 @@
     }
   }
 
-  /** What happened before this start is no news: a node that starts reads minutes of it at once. */
-  private Level newsLevel() {
+  /** Returns the level for log lines: old events replayed at startup are logged at debug. */
+  private Level eventLogLevel() {
     return isCaughtUp() ? Level.INFO : Level.DEBUG;
   }
 
@@ -380,7 +380,7 @@
       return;
     }
     Job job = table.get(record.job());
-    LOG.atLevel(newsLevel())
+    LOG.atLevel(eventLogLevel())
         .addKeyValue("job", record.job())
         .addKeyValue("run", job.submission().run())
         .addKeyValue("step", job.submission().step())
@@ -389,7 +389,7 @@
         .log(effect == JobTable.Effect.ACCEPTED ? "job: accepted" : "job: ended");
   }
 
-  private void forget() {
+  private void removeExpiredJobs() {
     table.forget(context.now() - context.settings().keepJobs().toMillis());
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobOutcome.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobOutcome.java
@@ -3,28 +3,28 @@
 import java.util.List;
 import org.passhaven.protocol.job.ItemResult;
 
-/** What callers of batch jobs are told. */
+/** Outcome of a batch job operation, as reported to the caller. */
 public sealed interface JobOutcome {
-  /** The job, or its end, is durable. */
+  /** The submission or the end of the job is durable. */
   record Done() implements JobOutcome {}
 
-  /** Nothing was done and nothing will be. */
+  /** The operation was not carried out and will not be; it may be retried after the delay. */
   record Refused(String reason, long retryAfterMillis) implements JobOutcome {}
 
-  /** It may have been done. */
+  /** The operation may have been carried out. */
   record Unknown(String reason) implements JobOutcome {}
 
-  /** There is no such job or item. */
+  /** The job or item does not exist. */
   record NotFound() implements JobOutcome {}
 
-  /** Another job has the id. */
+  /** The id belongs to another tenant's job. */
   record Taken() implements JobOutcome {}
 
   /**
-   * Results from a position on.
+   * Results of a job from a position on.
    *
-   * @param total number of the job's items
-   * @param next position after the last result given
+   * @param total number of items in the job
+   * @param next position after the last returned result
    */
   record Results(int total, List<ItemResult> results, int next) implements JobOutcome {
     public Results {
@@ -32,6 +32,6 @@
     }
   }
 
-  /** Body of an item. */
+  /** Request body of an item. */
   record Body(byte[] body) implements JobOutcome {}
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -28,30 +28,30 @@
 import org.slf4j.event.Level;
 
 /**
- * Runs the jobs of the runs that belong to this node: carries out the decisions of the {@link
- * JobScheduler}.
+ * Runs the jobs of the runs that this node owns, by carrying out the actions of the {@link
+ * JobScheduler}. Not thread-safe.
  */
 public final class JobRunner {
   private static final Logger LOG = LoggerFactory.getLogger(JobRunner.class);
-  private static final long GENERATION_MILLIS = 30_000;
-  private static final long LEAVE_TEXT_MILLIS = 500;
-  private static final long SAVE_TEXTS_MILLIS = 250;
+  private static final long GENERATION_TIMEOUT_MILLIS = 30_000;
+  private static final long FINAL_SAVE_TIMEOUT_MILLIS = 500;
+  private static final long SAVE_PERIOD_MILLIS = 250;
   private static final String POST = "POST";
   private final GatewayContext context;
   private final Directory directory;
   private final MemberAgent members;
   private final JobLog log;
-  private final ItemCrashes crashes;
+  private final ItemCrashGate crashGate;
   private final ResultWriter results;
   private final JobScheduler scheduler;
-  private final TextLog texts;
-  private final ScoreCalls scores;
-  private final RunClaims claims;
+  private final PartialTextLog texts;
+  private final ScoreCallQueue scoreQueue;
+  private final RunClaimer runClaimer;
   private final Map<Long, Cancellable> generations = new HashMap<>();
   private boolean stopped;
-  private boolean deciding;
+  private boolean isDecisionScheduled;
 
-  /** Creates the runner; {@link #start} begins. */
+  /** Creates the runner; {@link #start} starts it. */
   public JobRunner(
       GatewayContext context,
       Directory directory,
@@ -59,70 +59,70 @@
       JobLog log,
       RequestForwarder forwarder,
       CrashLog crashes) {
-    this.crashes = new ItemCrashes(crashes, this::decideSoon);
+    this.crashGate = new ItemCrashGate(crashes, this::scheduleDecision);
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.members = Objects.requireNonNull(members, "members");
     this.log = Objects.requireNonNull(log, "log");
     this.results = new ResultWriter(context, log);
     this.scheduler =
-        new JobScheduler(context.settings().node(), context.settings().zone(), this.crashes);
-    this.texts = new TextLog(context, log.history(), scheduler, this::decideSoon);
-    this.scores = new ScoreCalls(context, directory, forwarder, scheduler, this::apply);
-    this.claims = new RunClaims(members, log);
+        new JobScheduler(context.settings().node(), context.settings().zone(), this.crashGate);
+    this.texts = new PartialTextLog(context, log.history(), scheduler, this::scheduleDecision);
+    this.scoreQueue = new ScoreCallQueue(context, directory, forwarder, scheduler, this::apply);
+    this.runClaimer = new RunClaimer(members, log);
     new ServerUseExchange(context, log, scheduler.serverView(), members);
     log.addListener(this::onRecord);
-    log.addOwnerListener(this::decideSoon);
+    log.addOwnerListener(this::scheduleDecision);
   }
 
-  /** Begins to run jobs. */
+  /** Starts to run jobs. */
   public void start() {
     context.timers().every(context.settings().tick().toMillis(), this::decide);
-    context.timers().every(SAVE_TEXTS_MILLIS, this::saveTexts);
-    directory.addListener(this::decideSoon);
+    context.timers().every(SAVE_PERIOD_MILLIS, this::saveTexts);
+    directory.addListener(this::scheduleDecision);
   }
 
   private void saveTexts() {
     if (!stopped) {
-      List<String> own = log.owners().ownRuns();
-      texts.retain(own);
-      own.forEach(run -> texts.save(run).subscribe().with(ignored -> {}));
+      List<String> ownRuns = log.owners().ownRuns();
+      texts.retain(ownRuns);
+      ownRuns.forEach(run -> texts.save(run).subscribe().with(ignored -> {}));
     }
   }
 
   /**
-   * Takes no further runs and leaves the texts so far to the next runners, but goes on with its own
-   * until those have taken them: with the log in trouble that may be late or never. Gives a result
-   * when the texts are in the log, or the log gave no answer in time.
+   * Starts a graceful handover: claims no further runs and saves all partial texts, but continues
+   * its own runs until other nodes take them over. Completes when the texts are in the log or the
+   * time limit is reached.
    */
   public Uni<Void> leave() {
-    claims.stop();
-    return leaveTexts();
+    runClaimer.stop();
+    return saveAllTexts();
   }
 
-  /** Runs nothing more; what nobody has taken by now leaves its texts once more. */
+  /** Stops all jobs. Saves the texts of runs that no node has taken over; completes with that. */
   public Uni<Void> stop() {
-    claims.stop();
+    runClaimer.stop();
     stopped = true;
-    Uni<Void> left = leaveTexts();
+    Uni<Void> saved = saveAllTexts();
     scheduler.running().forEach(job -> drop(job, "stopping"));
-    return left;
+    return saved;
   }
 
-  private Uni<Void> leaveTexts() {
+  private Uni<Void> saveAllTexts() {
     List<Uni<Void>> saves = log.owners().ownRuns().stream().map(texts::save).toList();
     if (saves.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
     return context
         .timers()
-        .limit(Uni.join().all(saves).andCollectFailures(), LEAVE_TEXT_MILLIS, "texts")
+        .limit(Uni.join().all(saves).andCollectFailures(), FINAL_SAVE_TIMEOUT_MILLIS, "texts")
         .replaceWithVoid()
         .onFailure()
         .recoverWithNull();
   }
 
-  /** Number of jobs that this node runs. */
+  /** Returns the number of jobs that this node runs. */
   public int running() {
     return scheduler.running().size();
   }
@@ -132,18 +132,18 @@
     if (effect == JobTable.Effect.LISTED) {
       String item = ((JobRecord.ItemFinished) record).item();
       context.metrics().resultsListed.increment();
-      results.onListed(job, item);
-      scheduler.historyOf(job.id(), item).ifPresent(history -> logListed(job, item, history));
+      results.onResultRecorded(job, item);
+      scheduler.historyOf(job.id(), item).ifPresent(history -> logRecordedItem(job, item, history));
       apply(scheduler.onListed(job.id(), item));
     } else if (effect == JobTable.Effect.ENDED) {
       drop(job.id(), "ended");
       results.drop(job.id());
     } else {
-      decideSoon();
+      scheduleDecision();
     }
   }
 
-  private void logListed(Job job, String item, ItemHistory history) {
+  private void logRecordedItem(Job job, String item, ItemHistory history) {
     long accepted = history.acceptedAtMillis();
     LOG.atInfo()
         .addKeyValue("job", job.id())
@@ -160,22 +160,25 @@
         .log("job: item listed");
   }
 
-  private void drop(String job, String why) {
+  private void drop(String job, String reason) {
     if (scheduler.isRunning(job)) {
-      LOG.atInfo().addKeyValue("job", job).addKeyValue("why", why).log("job: run no longer here");
-      apply(scheduler.drop(job, why));
+      LOG.atInfo()
+          .addKeyValue("job", job)
+          .addKeyValue("why", reason)
+          .log("job: run no longer here");
+      apply(scheduler.drop(job, reason));
     }
   }
 
-  private void decideSoon() {
-    if (!deciding) {
-      deciding = true;
+  private void scheduleDecision() {
+    if (!isDecisionScheduled) {
+      isDecisionScheduled = true;
       context
           .timers()
           .after(
               1,
               () -> {
-                deciding = false;
+                isDecisionScheduled = false;
                 decide();
               });
     }
@@ -187,34 +190,34 @@
     }
     List.copyOf(log.table().open()).stream()
         .filter(job -> log.isCaughtUp(job.submission().run()))
-        .forEach(this::takeOrDrop);
-    claims.claimIdle();
-    // Texts of a former runner are read before the run's next job arrives, which may continue them.
-    log.owners().ownRuns().forEach(run -> texts.leftOf(run, log.owners().epochOf(run)));
+        .forEach(this::startOrDrop);
+    runClaimer.claimRunsWithoutOpenJobs();
+    // Reads the former owner's texts early, since the run's next job may continue them.
+    log.owners().ownRuns().forEach(run -> texts.inheritedTextsOf(run, log.owners().epochOf(run)));
     if (scheduler.hasJobs()) {
       apply(scheduler.decide(directory.servers().all(), directory.named(), context.now()));
     }
   }
 
-  private void takeOrDrop(Job job) {
+  private void startOrDrop(Job job) {
     String run = job.submission().run();
-    claims.claim(run);
-    boolean mine = log.owners().isOwn(run);
-    boolean running = scheduler.isRunning(job.id());
-    if (running && !mine) {
+    runClaimer.claim(run);
+    boolean isOwner = log.owners().isOwn(run);
+    boolean isRunning = scheduler.isRunning(job.id());
+    if (isRunning && !isOwner) {
       drop(job.id(), "another node runs it");
       return;
     }
-    Optional<JobPolicy> policy = mine ? policyOf(job.submission()) : Optional.empty();
+    Optional<JobPolicy> policy = isOwner ? policyOf(job.submission()) : Optional.empty();
     if (policy.isEmpty()) {
       return;
     }
-    Optional<TextTable> left = texts.leftOf(run, log.owners().epochOf(run));
-    if (left.isEmpty()) {
+    Optional<TextTable> inheritedTexts = texts.inheritedTextsOf(run, log.owners().epochOf(run));
+    if (inheritedTexts.isEmpty()) {
       return;
     }
-    scheduler.take(job, policy.get(), left.get());
-    if (!running) {
+    scheduler.take(job, policy.get(), inheritedTexts.get());
+    if (!isRunning) {
       LOG.atInfo()
           .addKeyValue("job", job.id())
           .addKeyValue("run", job.submission().run())
@@ -246,18 +249,18 @@
   private void apply(List<JobAction> actions) {
     for (JobAction action : actions) {
       if (action instanceof JobAction.Start start) {
-        begin(start);
+        startGeneration(start);
       } else if (action instanceof JobAction.Stop stop) {
         stopGeneration(stop);
       } else if (action instanceof JobAction.Score score) {
-        scores.ask(score);
+        scoreQueue.enqueue(score);
       } else if (action instanceof JobAction.Finish finish) {
-        finish(finish.result());
+        writeResult(finish.result());
       }
     }
   }
 
-  private void finish(ItemResult result) {
+  private void writeResult(ItemResult result) {
     Job job = log.table().get(result.job());
     if (job == null) {
       return;
@@ -269,23 +272,23 @@
           .log("job: item given up");
     }
     results.write(job, result);
-    decideSoon();
+    scheduleDecision();
   }
 
   private void stopGeneration(JobAction.Stop stop) {
-    Cancellable running = generations.remove(stop.attempt());
-    if (running != null) {
-      running.cancel();
+    Cancellable generation = generations.remove(stop.attempt());
+    if (generation != null) {
+      generation.cancel();
       context.metrics().onGenerationStopped(stop.why());
       LOG.atInfo()
           .addKeyValue("attempt", stop.attempt())
           .addKeyValue("why", stop.why())
           .log("job: generation stopped");
     }
-    decideSoon();
+    scheduleDecision();
   }
 
-  private void begin(JobAction.Start start) {
+  private void startGeneration(JobAction.Start start) {
     JobItem item = start.item();
     Call call = callOf(start.job(), item);
     long attempt = start.attempt();
@@ -298,7 +301,7 @@
         .addKeyValue("after", start.lastEvent())
         .addKeyValue("estimate", scheduler.serverView().estimate(server, context.now()))
         .log("job: generation begins");
-    Cancellable running =
+    Cancellable generation =
         context
             .backEnds()
             .generate(
@@ -308,12 +311,12 @@
             .with(
                 progress -> onProgress(attempt, progress),
                 failure -> onFailed(start, BackEndException.from(failure)),
-                () -> onWhole(start));
+                () -> onCompleted(start));
     context.metrics().generationsBegun.increment();
-    generations.put(attempt, running);
+    generations.put(attempt, generation);
   }
 
-  /** The request by which a server makes an item's text. */
+  /** Returns the request by which a server generates an item's text. */
   static Call callOf(JobSubmission job, JobItem item) {
     return new Call(
         item.id(),
@@ -323,7 +326,7 @@
         job.host(),
         item.headers(),
         item.body(),
-        GENERATION_MILLIS);
+        GENERATION_TIMEOUT_MILLIS);
   }
 
   private void onProgress(long attempt, Progress progress) {
@@ -335,17 +338,17 @@
     }
   }
 
-  private void onWhole(JobAction.Start start) {
+  private void onCompleted(JobAction.Start start) {
     generations.remove(start.attempt());
-    crashes.onWhole(start);
+    crashGate.onCompleted(start);
     apply(scheduler.onWhole(start.attempt(), context.now()));
-    decideSoon();
+    scheduleDecision();
   }
 
   private void onFailed(JobAction.Start start, BackEndException failure) {
     generations.remove(start.attempt());
     context.metrics().onGenerationFailed(failure.kind());
-    // A full server is no failure, and there may be many such answers.
+    // Refusals by full servers are expected and frequent.
     LOG.atLevel(failure.kind() == BackEndException.Kind.REFUSED ? Level.DEBUG : Level.INFO)
         .addKeyValue("job", start.job().id())
         .addKeyValue("item", start.item().id())
@@ -353,9 +356,9 @@
         .addKeyValue("kind", failure.kind())
         .addKeyValue("reason", failure.getMessage())
         .log("job: generation failed");
-    crashes.onFailed(start, failure.kind());
+    crashGate.onFailed(start, failure.kind());
     apply(scheduler.onFailed(start.attempt(), failureOf(failure.kind()), context.now()));
-    decideSoon();
+    scheduleDecision();
   }
 
   private static JobScheduler.Failure failureOf(BackEndException.Kind kind) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -21,64 +21,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Callers' interface to batch jobs, at any node: hand in, read, end. What is told as done is
- * durable; what is told as refused was never sent to the log.
+ * Interface of callers to batch jobs: submit, read and end, at any node. An outcome of {@link
+ * JobOutcome.Done} means that the change is durable, {@link JobOutcome.Refused} that it is not and
+ * will not be in the log. Not thread-safe.
  */
 public final class JobService {
   private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
-  private static final int MOST_RESULT_BYTES = 900_000;
+  private static final int MAX_RESPONSE_BYTES = 900_000;
 
-  /** Another node may be able to tell at once. */
-  private static final long UNREADABLE_RETRY_AFTER_MILLIS = 100;
+  /** Short, since another node may be able to answer at once. */
+  private static final long UNAVAILABLE_RETRY_AFTER_MILLIS = 100;
 
-  private static final long REFRESH_LIMIT_MILLIS = 900;
+  private static final long REFRESH_TIMEOUT_MILLIS = 900;
 
-  /** Callers wait 1,500 ms longer than they allow: an answer is under way by then. */
+  /** Less than the 1,500 ms for which callers wait beyond the limit they send. */
   private static final long ANSWER_MARGIN_MILLIS = 1_200;
 
   private final GatewayContext context;
   private final JobLog log;
-  private final CalledJobs called;
+  private final ResultTextPrefetcher prefetcher;
   private final JobWaiters waiters = new JobWaiters();
 
-  /** Creates the service over a log that is followed. */
+  /** Creates the service on top of a job log. */
   public JobService(GatewayContext context, JobLog log) {
     this.context = Objects.requireNonNull(context, "context");
     this.log = Objects.requireNonNull(log, "log");
-    this.called = new CalledJobs(context, log);
+    this.prefetcher = new ResultTextPrefetcher(context, log);
     log.addListener(this::onRecord);
   }
 
   private void onRecord(JobRecord.OfJob record, JobTable.Effect effect) {
     if (effect == JobTable.Effect.LISTED) {
-      called.onListed(record.job());
+      prefetcher.onResultRecorded(record.job());
     }
-    waiters.wake(record.job());
+    waiters.runAll(record.job());
   }
 
   /**
-   * Hands a job in; gives the outcome within {@code limitMillis}. A job of another tenant under the
-   * same id is none of the caller's, and its own was not taken.
+   * Submits a job. Returns the outcome within {@code limitMillis}; it is {@link JobOutcome.Taken}
+   * if another tenant has a job with the same id.
    */
   public Uni<JobOutcome> submit(JobSubmission submission, long limitMillis) {
     return append(submission, limitMillis)
         .map(
             outcome ->
-                outcome instanceof JobOutcome.Done && isOfOther(submission)
+                outcome instanceof JobOutcome.Done && belongsToOtherTenant(submission)
                     ? new JobOutcome.Taken()
                     : outcome);
   }
 
-  private boolean isOfOther(JobSubmission submission) {
+  private boolean belongsToOtherTenant(JobSubmission submission) {
     Job job = log.table().get(submission.id());
     return job != null && !job.submission().tenant().equals(submission.tenant());
   }
 
   private Uni<JobOutcome> append(JobSubmission submission, long limitMillis) {
-    called.onCall(submission.id(), 0);
-    log.onCall(submission.run());
+    prefetcher.onCallerRequest(submission.id(), 0);
+    log.onCallerRequest(submission.run());
     long attempt = context.incarnation() ^ context.randomBelow().applyAsInt(Integer.MAX_VALUE);
-    return durable(
+    return appendDurably(
         new Change(
             log.streamOf(submission.run()),
             submission.id(),
@@ -87,32 +88,33 @@
         limitMillis);
   }
 
-  private Uni<JobOutcome> durable(Change change, long limitMillis) {
-    return new DurableAppend(context, log, waiters, change).begin(limitMillis);
+  private Uni<JobOutcome> appendDurably(Change change, long limitMillis) {
+    return new DurableAppend(context, log, waiters, change).start(limitMillis);
   }
 
-  /** Pieces that fit into a record each. */
+  /** Splits an encoded submission into records of the maximum size. */
   private List<byte[]> split(String id, long attempt, byte[] content) {
-    int piece = context.settings().mostRecordBytes() - RECORD_OVERHEAD_BYTES;
-    int parts = Math.max(1, (content.length + piece - 1) / piece);
+    int maxPartBytes = context.settings().mostRecordBytes() - RECORD_OVERHEAD_BYTES;
+    int parts = Math.max(1, (content.length + maxPartBytes - 1) / maxPartBytes);
     List<byte[]> records = new ArrayList<>();
     for (int part = 0; part < parts; part++) {
       byte[] bytes =
-          Arrays.copyOfRange(content, part * piece, Math.min(content.length, (part + 1) * piece));
+          Arrays.copyOfRange(
+              content, part * maxPartBytes, Math.min(content.length, (part + 1) * maxPartBytes));
       JobRecord record = new JobRecord.JobPart(id, attempt, part, parts, bytes);
       records.add(Codec.encode(record));
     }
     return records;
   }
 
-  /** Ends a job; gives the outcome within {@code limitMillis}. */
+  /** Ends a job. Returns the outcome within {@code limitMillis}. */
   public Uni<JobOutcome> end(String tenant, String id, long limitMillis) {
-    return known(id)
+    return refreshIfUnknown(id)
         .chain(
-            sure -> {
+            isTableCurrent -> {
               Job job = jobOf(tenant, id);
               if (job == null) {
-                return Uni.createFrom().item(unknownJob(id, sure));
+                return Uni.createFrom().item(notFoundOrUnavailable(id, isTableCurrent));
               }
               if (job.ended()) {
                 return Uni.createFrom().item(new JobOutcome.Done());
@@ -124,101 +126,107 @@
                       id,
                       List.of(Codec.encode(record)),
                       JobTable.Effect.ENDED);
-              return durable(change, limitMillis);
+              return appendDurably(change, limitMillis);
             });
   }
 
   /**
-   * Results at position {@code from} and after; waits up to {@code waitMillis} for one. That there
-   * are none is said only after the log was read to its end: another node may have told of some
-   * already, and a read that waits here may hang since an outage.
+   * Returns the results from position {@code from} on; waits up to {@code waitMillis} for one. An
+   * empty answer requires that the log was read to its end first, since another node may have
+   * returned newer results already.
    */
   public Uni<JobOutcome> read(String tenant, String id, int from, long waitMillis) {
-    long untilMillis = context.now() + waitMillis + ANSWER_MARGIN_MILLIS;
-    return known(id)
+    long deadlineMillis = context.now() + waitMillis + ANSWER_MARGIN_MILLIS;
+    return refreshIfUnknown(id)
         .chain(
-            sure -> {
+            isTableCurrent -> {
               Job job = jobOf(tenant, id);
               if (job == null) {
-                return Uni.createFrom().item(unknownJob(id, sure));
+                return Uni.createFrom().item(notFoundOrUnavailable(id, isTableCurrent));
               }
-              called.onCall(id, Math.max(0, from));
+              prefetcher.onCallerRequest(id, Math.max(0, from));
               return job.results().size() > from
-                  ? resultsOf(job, from, untilMillis)
-                  : refreshed(job).chain(isSure -> readSure(job, from, untilMillis, isSure));
+                  ? resultsOf(job, from, deadlineMillis)
+                  : refreshWithTimeout(job)
+                      .chain(
+                          isJobCurrent ->
+                              readAfterRefresh(job, from, deadlineMillis, isJobCurrent));
             });
   }
 
-  private Uni<JobOutcome> readSure(Job job, int from, long untilMillis, boolean isSure) {
-    if (!isSure && job.results().size() <= from) {
-      return Uni.createFrom().item(unreadable(job.id()));
+  private Uni<JobOutcome> readAfterRefresh(
+      Job job, int from, long deadlineMillis, boolean isJobCurrent) {
+    if (!isJobCurrent && job.results().size() <= from) {
+      return Uni.createFrom().item(unavailable(job.id()));
     }
-    long waitMillis = untilMillis - ANSWER_MARGIN_MILLIS - context.now();
-    boolean mayCome = job.isOpen() && waitMillis > 0;
-    if (job.results().size() > from || !mayCome) {
-      return resultsOf(job, from, untilMillis);
+    long waitMillis = deadlineMillis - ANSWER_MARGIN_MILLIS - context.now();
+    boolean mayArrive = job.isOpen() && waitMillis > 0;
+    if (job.results().size() > from || !mayArrive) {
+      return resultsOf(job, from, deadlineMillis);
     }
     return Uni.createFrom()
         .<Boolean>emitter(emitter -> awaitResult(job, from, waitMillis, emitter))
-        .chain(hasCome -> endWait(job, from, untilMillis, hasCome));
+        .chain(isAvailable -> readAfterWait(job, from, deadlineMillis, isAvailable));
   }
 
-  /** Gives true once there is a result, false when none will come or the wait is over. */
+  /** Emits true once there is a result, false if none can come or the wait is over. */
   private void awaitResult(
       Job job, int from, long waitMillis, UniEmitter<? super Boolean> emitter) {
-    Runnable[] look = new Runnable[1];
-    look[0] =
+    Runnable[] check = new Runnable[1];
+    check[0] =
         () -> {
-          boolean hasCome = job.results().size() > from;
-          if (hasCome || !job.isOpen()) {
-            emitter.complete(hasCome);
+          boolean isAvailable = job.results().size() > from;
+          if (isAvailable || !job.isOpen()) {
+            emitter.complete(isAvailable);
           } else {
-            waiters.add(job.id(), look[0]);
+            waiters.add(job.id(), check[0]);
           }
         };
-    emitter.onTermination(() -> waiters.remove(job.id(), look[0]));
+    emitter.onTermination(() -> waiters.remove(job.id(), check[0]));
     context.timers().after(waitMillis, () -> emitter.complete(false));
-    look[0].run();
+    check[0].run();
   }
 
   /**
-   * Without a result the log is looked into: a job's end may stand before results of the same read.
+   * Refreshes the log before an empty answer, since results may follow a job's end in the same
+   * read.
    */
-  private Uni<JobOutcome> endWait(Job job, int from, long untilMillis, boolean hasCome) {
-    return hasCome
-        ? resultsOf(job, from, untilMillis)
-        : refreshed(job)
+  private Uni<JobOutcome> readAfterWait(
+      Job job, int from, long deadlineMillis, boolean isAvailable) {
+    return isAvailable
+        ? resultsOf(job, from, deadlineMillis)
+        : refreshWithTimeout(job)
             .chain(
-                isSure ->
-                    !isSure && job.results().size() <= from
-                        ? Uni.createFrom().item(unreadable(job.id()))
-                        : resultsOf(job, from, untilMillis));
+                isJobCurrent ->
+                    !isJobCurrent && job.results().size() <= from
+                        ? Uni.createFrom().item(unavailable(job.id()))
+                        : resultsOf(job, from, deadlineMillis));
   }
 
-  private Uni<JobOutcome> resultsOf(Job job, int from, long untilMillis) {
-    List<ItemFinished> given = new ArrayList<>();
+  private Uni<JobOutcome> resultsOf(Job job, int from, long deadlineMillis) {
+    List<ItemFinished> selected = new ArrayList<>();
     int bytes = 0;
     for (int position = from; position < job.results().size(); position++) {
       ItemFinished result = job.results().get(position);
       bytes += (result.text() == null ? 0 : result.text().bytes()) + RECORD_OVERHEAD_BYTES;
-      if (!given.isEmpty() && bytes > MOST_RESULT_BYTES) {
+      if (!selected.isEmpty() && bytes > MAX_RESPONSE_BYTES) {
         break;
       }
-      given.add(result);
+      selected.add(result);
     }
     return log.texts()
-        .read(log.textStreamOf(job.submission().run()), given, untilMillis)
-        .map(texts -> results(job, from, given, texts))
+        .read(log.textStreamOf(job.submission().run()), selected, deadlineMillis)
+        .map(texts -> results(job, from, selected, texts))
         .onFailure()
-        .recoverWithItem(failure -> unreadable(job.id(), failure));
+        .recoverWithItem(failure -> unavailable(job.id(), failure));
   }
 
-  /** Results as far as their texts are known. */
+  /** Returns the results whose texts are available. */
   private static JobOutcome results(
-      Job job, int from, List<ItemFinished> given, List<String> texts) {
+      Job job, int from, List<ItemFinished> selected, List<String> texts) {
     List<ItemResult> results = new ArrayList<>();
     for (int i = 0; i < texts.size(); i++) {
-      ItemFinished result = given.get(i);
+      ItemFinished result = selected.get(i);
       results.add(
           new ItemResult(
               result.job(),
@@ -232,64 +240,66 @@
         job.submission().items().size(), results, Math.max(from, 0) + results.size());
   }
 
-  /** Body of an item. */
+  /** Returns the request body of an item. */
   public Uni<JobOutcome> body(String tenant, String id, String item) {
-    return known(id)
+    return refreshIfUnknown(id)
         .map(
-            sure -> {
+            isTableCurrent -> {
               Job job = jobOf(tenant, id);
               if (job == null) {
-                return unknownJob(id, sure);
+                return notFoundOrUnavailable(id, isTableCurrent);
               }
               JobItem found = job.item(item);
               return found == null ? new JobOutcome.NotFound() : new JobOutcome.Body(found.body());
             });
   }
 
-  /** A job of a tenant; null if there is none, or it is another's: that can't be told apart. */
+  /** Returns a job of a tenant; null if there is none or it belongs to another tenant. */
   private Job jobOf(String tenant, String id) {
     Job job = log.table().get(id);
     return job != null && job.submission().tenant().equals(tenant) ? job : null;
   }
 
-  /** Gives whether it is sure that a job does not exist if it is not known here. */
-  private Uni<Boolean> known(String id) {
-    return log.table().get(id) != null ? Uni.createFrom().item(true) : refreshed();
+  /** Refreshes the log if a job is unknown. Returns whether the job table is current for it. */
+  private Uni<Boolean> refreshIfUnknown(String id) {
+    return log.table().get(id) != null ? Uni.createFrom().item(true) : refreshWithTimeout();
   }
 
-  private Uni<Boolean> refreshed() {
-    return limited(log.refresh());
+  private Uni<Boolean> refreshWithTimeout() {
+    return withTimeout(log.refresh());
   }
 
-  /** Gives whether all results of a job that were in the log at the call are known now. */
-  private Uni<Boolean> refreshed(Job job) {
-    boolean isWhole = job.openItems() == 0;
-    return isWhole ? Uni.createFrom().item(true) : limited(log.refresh(job.submission().run()));
+  /** Refreshes a job. Returns whether all results in the log at the time of the call are known. */
+  private Uni<Boolean> refreshWithTimeout(Job job) {
+    boolean isComplete = job.openItems() == 0;
+    return isComplete
+        ? Uni.createFrom().item(true)
+        : withTimeout(log.refresh(job.submission().run()));
   }
 
-  private Uni<Boolean> limited(Uni<Boolean> refresh) {
+  private Uni<Boolean> withTimeout(Uni<Boolean> refresh) {
     return context
         .timers()
-        .limit(refresh, REFRESH_LIMIT_MILLIS, "refresh")
+        .limit(refresh, REFRESH_TIMEOUT_MILLIS, "refresh")
         .onFailure()
         .recoverWithItem(false);
   }
 
-  private JobOutcome unknownJob(String id, boolean sure) {
-    return sure ? new JobOutcome.NotFound() : unreadable(id);
+  private JobOutcome notFoundOrUnavailable(String id, boolean isTableCurrent) {
+    return isTableCurrent ? new JobOutcome.NotFound() : unavailable(id);
   }
 
-  private JobOutcome unreadable(String id) {
-    return unreadable(id, null);
+  private JobOutcome unavailable(String id) {
+    return unavailable(id, null);
   }
 
-  private JobOutcome unreadable(String id, Throwable failure) {
+  private JobOutcome unavailable(String id, Throwable failure) {
     LOG.atInfo()
         .addKeyValue("job", id)
         .addKeyValue("known", log.table().get(id) != null)
         .addKeyValue("behind", log.behind())
         .addKeyValue("reason", failure == null ? "" : failure.getMessage())
         .log("job: can't be read here now");
-    return new JobOutcome.Refused("the jobs can't be read now", UNREADABLE_RETRY_AFTER_MILLIS);
+    return new JobOutcome.Refused("the jobs can't be read now", UNAVAILABLE_RETRY_AFTER_MILLIS);
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobWaiters.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobWaiters.java
@@ -6,28 +6,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Who waits for news of which job. */
+/** One-shot callbacks that run at the next change of a job. Not thread-safe. */
 final class JobWaiters {
-  private final Map<String, Set<Runnable>> waiting = new HashMap<>();
+  private final Map<String, Set<Runnable>> tasksByJob = new HashMap<>();
 
-  /** Runs {@code task} once, at the job's next news. */
+  /** Registers a task that runs once, at the next change of the job. */
   void add(String job, Runnable task) {
-    waiting.computeIfAbsent(job, id -> new LinkedHashSet<>()).add(task);
+    tasksByJob.computeIfAbsent(job, id -> new LinkedHashSet<>()).add(task);
   }
 
-  /** Forgets a task that waits for nothing any more. */
+  /** Removes a registered task. */
   void remove(String job, Runnable task) {
-    Set<Runnable> tasks = waiting.get(job);
+    Set<Runnable> tasks = tasksByJob.get(job);
     if (tasks != null && tasks.remove(task) && tasks.isEmpty()) {
-      waiting.remove(job);
+      tasksByJob.remove(job);
     }
   }
 
-  /** There is news of a job. */
-  void wake(String job) {
-    Set<Runnable> woken = waiting.remove(job);
-    if (woken != null) {
-      List.copyOf(woken).forEach(Runnable::run);
+  /** Removes and runs all tasks that wait for a change of the job. */
+  void runAll(String job) {
+    Set<Runnable> tasks = tasksByJob.remove(job);
+    if (tasks != null) {
+      List.copyOf(tasks).forEach(Runnable::run);
     }
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/PartitionStarts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
@@ -10,51 +10,50 @@
 import org.passhaven.spi.Timers;
 
 /**
- * When a node begins to read which partition. The first candidates for the runs of a partition read
- * it first: after the loss of all nodes, each one reads all of it, and together they share what the
- * log gives a second.
+ * Staggers the initial reads of the partitions. The first candidates for the runs of a partition
+ * read it first, so that nodes that start at the same time do not overload the log.
  */
-final class PartitionStarts {
-  private static final long FIRST_READ_MILLIS = 350;
+final class PartitionStartScheduler {
+  private static final long FIRST_CANDIDATE_LEAD_MILLIS = 350;
   private static final long START_SPACING_MILLIS = 50;
   private static final int MAX_START_DELAY_MILLIS = 2_000;
   private final GatewayContext context;
   private final List<LogTail> tails;
-  private final BitSet started = new BitSet();
-  private final Map<Integer, Timers.Timer> timers = new HashMap<>();
+  private final BitSet startedPartitions = new BitSet();
+  private final Map<Integer, Timers.Timer> pendingStarts = new HashMap<>();
 
-  PartitionStarts(GatewayContext context, List<LogTail> tails) {
+  PartitionStartScheduler(GatewayContext context, List<LogTail> tails) {
     this.context = Objects.requireNonNull(context, "context");
     this.tails = Objects.requireNonNull(tails, "tails");
   }
 
-  /** Ranks the partitions that were not begun, by the nodes that live now. */
+  /** Schedules the partitions that are not started, ranked by the nodes that are live now. */
   void schedule(BeatTable beats) {
     for (int partition = 0; partition < tails.size(); partition++) {
-      if (!started.get(partition)) {
+      if (!startedPartitions.get(partition)) {
         schedule(partition, delayMillis(beats, tails.get(partition).stream()));
       }
     }
   }
 
   private void schedule(int partition, long delayMillis) {
-    Timers.Timer before = timers.remove(partition);
-    if (before != null) {
-      before.cancel();
+    Timers.Timer previous = pendingStarts.remove(partition);
+    if (previous != null) {
+      previous.cancel();
     }
     if (delayMillis == 0) {
-      begin(partition);
+      startTail(partition);
     } else {
-      timers.put(partition, context.timers().after(delayMillis, () -> begin(partition)));
+      pendingStarts.put(partition, context.timers().after(delayMillis, () -> startTail(partition)));
     }
   }
 
-  private void begin(int partition) {
-    started.set(partition);
+  private void startTail(int partition) {
+    startedPartitions.set(partition);
     tails.get(partition).start(0);
   }
 
-  /** A node that knows nobody yet may be one of many that start: it can't tell its place. */
+  /** Returns the delay by this node's rank, or a random one while no live node is known. */
   private long delayMillis(BeatTable beats, String stream) {
     if (beats.taking().isEmpty()) {
       return context.randomBelow().applyAsInt(MAX_START_DELAY_MILLIS);
@@ -62,6 +61,7 @@
     int rank = beats.rankOf(stream, context.settings().node());
     return rank == 0
         ? 0
-        : Math.min(MAX_START_DELAY_MILLIS, FIRST_READ_MILLIS + rank * START_SPACING_MILLIS);
+        : Math.min(
+            MAX_START_DELAY_MILLIS, FIRST_CANDIDATE_LEAD_MILLIS + rank * START_SPACING_MILLIS);
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
@@ -18,39 +18,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Appends results to the log until they are read back: first their texts, then the results, which
- * name the places of the texts. An append may be repeated: the first result of an item counts, and
- * a text that no result names is read by nobody.
+ * Appends results to the log and retries until they are acknowledged or read back: first their
+ * texts, then the results, which refer to the texts by offset. Repeated appends are harmless: the
+ * first result of an item counts, and unreferenced texts are never read. Not thread-safe.
  */
 final class ResultWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ResultWriter.class);
   private static final int MAX_BATCH_BYTES = 1_000_000;
 
-  /** Passes any link in time; smaller batches would only cost calls. */
+  /** Small enough to pass slow links before the append times out. */
   private static final int MIN_BATCH_BYTES = 65_536;
 
   private static final long RETRY_MILLIS = 100;
   private final GatewayContext context;
   private final JobLog log;
-  private final Map<String, Lane> lanes = new HashMap<>();
+  private final Map<String, PartitionQueue> queuesByStream = new HashMap<>();
 
   private record Key(String job, String item) {}
 
-  /** A result on its way to the log. */
-  private static final class Pending {
+  /** A result that is not yet in the log. */
+  private static final class PendingResult {
     final ItemResult result;
     final ResultText resultText;
-    final byte[] text;
-    TextPlace place;
+    final byte[] encodedText;
+    TextPlace textLocation;
 
-    Pending(ItemResult result) {
+    PendingResult(ItemResult result) {
       this.result = result;
       this.resultText = new ResultText(result.job(), result.item(), result.text());
-      this.text = result.text().isEmpty() ? new byte[0] : Codec.encode(resultText);
+      this.encodedText = result.text().isEmpty() ? new byte[0] : Codec.encode(resultText);
     }
 
-    boolean needsText() {
-      return text.length > 0 && place == null;
+    boolean needsTextAppend() {
+      return encodedText.length > 0 && textLocation == null;
     }
 
     byte[] record() {
@@ -59,22 +59,22 @@
               result.job(),
               result.item(),
               result.completed(),
-              place,
+              textLocation,
               result.versions(),
               result.score());
       return Codec.encode(record);
     }
   }
 
-  /** Results of one partition: one append at a time. */
-  private static final class Lane {
+  /** Pending results of one partition; at most one append is in flight. */
+  private static final class PartitionQueue {
     final String stream;
     final String textStream;
-    final Map<Key, Pending> waiting = new LinkedHashMap<>();
-    boolean appending;
+    final Map<Key, PendingResult> pending = new LinkedHashMap<>();
+    boolean isAppending;
     int maxBatchBytes = MAX_BATCH_BYTES;
 
-    Lane(String stream, String textStream) {
+    PartitionQueue(String stream, String textStream) {
       this.stream = stream;
       this.textStream = textStream;
     }
@@ -85,49 +85,55 @@
     this.log = Objects.requireNonNull(log, "log");
   }
 
-  /** Appends a result. */
+  /** Queues a result of a job for appending. */
   void write(Job job, ItemResult result) {
     String run = job.submission().run();
-    Lane lane =
-        lanes.computeIfAbsent(log.streamOf(run), stream -> new Lane(stream, log.textStreamOf(run)));
-    lane.waiting.put(new Key(result.job(), result.item()), new Pending(result));
-    appendNext(lane);
+    PartitionQueue queue =
+        queuesByStream.computeIfAbsent(
+            log.streamOf(run), stream -> new PartitionQueue(stream, log.textStreamOf(run)));
+    queue.pending.put(new Key(result.job(), result.item()), new PendingResult(result));
+    appendNext(queue);
   }
 
-  /** A result was read back, whoever wrote it. */
-  void onListed(Job job, String item) {
-    Lane lane = lanes.get(log.streamOf(job.submission().run()));
-    if (lane != null) {
-      lane.waiting.remove(new Key(job.id(), item));
+  /** Removes a result that was read back from the log, whichever node appended it. */
+  void onResultRecorded(Job job, String item) {
+    PartitionQueue queue = queuesByStream.get(log.streamOf(job.submission().run()));
+    if (queue != null) {
+      queue.pending.remove(new Key(job.id(), item));
     }
   }
 
-  /** A job's results are not wanted any more. */
+  /** Discards the pending results of a job. */
   void drop(String job) {
-    lanes.values().forEach(lane -> lane.waiting.keySet().removeIf(key -> key.job().equals(job)));
+    queuesByStream
+        .values()
+        .forEach(queue -> queue.pending.keySet().removeIf(key -> key.job().equals(job)));
   }
 
-  private void appendNext(Lane lane) {
-    if (lane.appending || lane.waiting.isEmpty()) {
+  private void appendNext(PartitionQueue queue) {
+    if (queue.isAppending || queue.pending.isEmpty()) {
       return;
     }
-    List<Pending> whole =
-        lane.waiting.values().stream().filter(pending -> !pending.needsText()).toList();
-    if (whole.isEmpty()) {
-      appendTexts(lane, first(lane, lane.waiting.values(), pending -> pending.text.length));
+    List<PendingResult> ready =
+        queue.pending.values().stream().filter(pending -> !pending.needsTextAppend()).toList();
+    if (ready.isEmpty()) {
+      appendTexts(
+          queue, nextBatch(queue, queue.pending.values(), pending -> pending.encodedText.length));
     } else {
-      appendResults(lane, whole);
+      appendResults(queue, ready);
     }
   }
 
-  /** As many of the first ones as fit into a batch, at least one. */
-  private static List<Pending> first(
-      Lane lane, Iterable<Pending> waiting, ToIntFunction<Pending> bytesOf) {
-    List<Pending> batch = new ArrayList<>();
+  /** Returns the first results that fit into a batch, at least one. */
+  private static List<PendingResult> nextBatch(
+      PartitionQueue queue,
+      Iterable<PendingResult> candidates,
+      ToIntFunction<PendingResult> bytesOf) {
+    List<PendingResult> batch = new ArrayList<>();
     int bytes = 0;
-    for (Pending pending : waiting) {
+    for (PendingResult pending : candidates) {
       bytes += bytesOf.applyAsInt(pending);
-      if (!batch.isEmpty() && bytes > lane.maxBatchBytes) {
+      if (!batch.isEmpty() && bytes > queue.maxBatchBytes) {
         break;
       }
       batch.add(pending);
@@ -135,64 +141,64 @@
     return batch;
   }
 
-  private void appendTexts(Lane lane, List<Pending> batch) {
-    lane.appending = true;
-    log.append(lane.textStream, batch.stream().map(pending -> pending.text).toList())
+  private void appendTexts(PartitionQueue queue, List<PendingResult> batch) {
+    queue.isAppending = true;
+    log.append(queue.textStream, batch.stream().map(pending -> pending.encodedText).toList())
         .subscribe()
         .with(
             offset -> {
-              onTextsAppended(lane, batch, offset);
-              onAppended(lane);
+              onTextsAppended(queue, batch, offset);
+              onAppended(queue);
             },
-            failure -> onFailure(lane, batch.size(), failure));
+            failure -> onFailure(queue, batch.size(), failure));
   }
 
-  private void onTextsAppended(Lane lane, List<Pending> batch, long firstOffset) {
+  private void onTextsAppended(PartitionQueue queue, List<PendingResult> batch, long firstOffset) {
     long offset = firstOffset;
-    for (Pending pending : batch) {
-      pending.place = new TextPlace(offset, pending.text.length);
-      log.texts().keep(lane.textStream, offset, pending.resultText);
+    for (PendingResult pending : batch) {
+      pending.textLocation = new TextPlace(offset, pending.encodedText.length);
+      log.texts().put(queue.textStream, offset, pending.resultText);
       offset++;
     }
   }
 
-  private void appendResults(Lane lane, List<Pending> whole) {
-    lane.appending = true;
-    log.append(lane.stream, whole.stream().map(Pending::record).toList())
+  private void appendResults(PartitionQueue queue, List<PendingResult> ready) {
+    queue.isAppending = true;
+    log.append(queue.stream, ready.stream().map(PendingResult::record).toList())
         .subscribe()
         .with(
             offset -> {
-              lane.waiting.values().removeAll(whole);
-              onAppended(lane);
+              queue.pending.values().removeAll(ready);
+              onAppended(queue);
             },
-            failure -> onFailure(lane, whole.size(), failure));
+            failure -> onFailure(queue, ready.size(), failure));
   }
 
-  private void onAppended(Lane lane) {
-    lane.appending = false;
-    lane.maxBatchBytes = Math.min(MAX_BATCH_BYTES, lane.maxBatchBytes * 2);
-    appendNext(lane);
+  private void onAppended(PartitionQueue queue) {
+    queue.isAppending = false;
+    queue.maxBatchBytes = Math.min(MAX_BATCH_BYTES, queue.maxBatchBytes * 2);
+    appendNext(queue);
   }
 
-  private void onFailure(Lane lane, int records, Throwable failure) {
-    PlatformException known = PlatformException.from(failure);
-    if (known.kind() == PlatformException.Kind.OUTCOME_UNKNOWN) {
-      // It may have been too long for the way there: the same again would be lost again.
-      lane.maxBatchBytes = Math.max(MIN_BATCH_BYTES, lane.maxBatchBytes / 2);
+  private void onFailure(PartitionQueue queue, int records, Throwable failure) {
+    PlatformException platformFailure = PlatformException.from(failure);
+    if (platformFailure.kind() == PlatformException.Kind.OUTCOME_UNKNOWN) {
+      // The call may have timed out because of its size: retry with a smaller batch.
+      queue.maxBatchBytes = Math.max(MIN_BATCH_BYTES, queue.maxBatchBytes / 2);
     }
     context.metrics().appendsRepeated.increment();
     LOG.atWarn()
-        .addKeyValue("stream", lane.stream)
+        .addKeyValue("stream", queue.stream)
         .addKeyValue("records", records)
-        .addKeyValue("reason", known.getMessage())
+        .addKeyValue("reason", platformFailure.getMessage())
         .log("job: results are appended again");
     context
         .timers()
         .after(
             RETRY_MILLIS,
             () -> {
-              lane.appending = false;
-              appendNext(lane);
+              queue.isAppending = false;
+              appendNext(queue);
             });
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaims.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -9,41 +9,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Claims the runs that this node is to take. */
-final class RunClaims {
-  private static final Logger LOG = LoggerFactory.getLogger(RunClaims.class);
+/** Claims ownership of runs for this node by appending claims to the log. */
+final class RunClaimer {
+  private static final Logger LOG = LoggerFactory.getLogger(RunClaimer.class);
   private final MemberAgent members;
   private final JobLog log;
   private boolean stopped;
 
-  RunClaims(MemberAgent members, JobLog log) {
+  RunClaimer(MemberAgent members, JobLog log) {
     this.members = Objects.requireNonNull(members, "members");
     this.log = Objects.requireNonNull(log, "log");
   }
 
-  /** Claims nothing more. */
+  /** Stops claiming runs. */
   void stop() {
     stopped = true;
   }
 
   /**
-   * Claims runs that have lost their runner while none of their jobs is open, so that their next
-   * job waits neither for a claim nor for the texts that the former runner left. Only nodes that
-   * follow a run's partition closely do so, since others might not see that it was taken. A run
-   * whose jobs are all forgotten is not claimed: it is likely over, and its claim would be renewed
-   * for ever.
+   * Claims runs that have lost their owner while none of their jobs is open, so that their next job
+   * does not wait for the claim and for the former owner's texts. Only standby nodes do so, since
+   * others might not have read a newer claim yet. Runs without retained jobs are skipped, as their
+   * claims would be renewed forever.
    */
-  void claimIdle() {
+  void claimRunsWithoutOpenJobs() {
     log.owners().runs().stream()
         .filter(run -> log.table().hasJobsOf(run))
-        .filter(run -> log.isCaughtUp(run) && log.isCloseCandidate(run))
+        .filter(run -> log.isCaughtUp(run) && log.isStandby(run))
         .forEach(this::claim);
   }
 
-  /** Claims a run if this node is to take it now. */
+  /** Claims a run if this node is its next owner. */
   void claim(String run) {
-    boolean isKnown = members.isSettled() || log.owners().isOwnerOver(run, members.beats());
-    if (stopped || !members.isInTouch() || !isKnown) {
+    boolean isOwnershipKnown =
+        members.isSettled() || log.owners().isOwnerOver(run, members.beats());
+    if (stopped || !members.isInTouch() || !isOwnershipKnown) {
       return;
     }
     Optional<JobRecord.RunTaken> claim = log.claim(run);
@@ -62,12 +62,12 @@
     log.append(log.streamOf(claim.run()), List.of(Codec.encode(record)))
         .subscribe()
         .with(
-            // Read back at once, since followers read with pauses.
+            // Reads the claim back without waiting for the next poll.
             offset -> log.refresh(claim.run()).subscribe().with(isSure -> {}),
             failure ->
                 LOG.atInfo()
                     .addKeyValue("run", claim.run())
                     .addKeyValue("reason", PlatformException.from(failure).getMessage())
-                    .log("job: a claim failed"));
+                    .log("job: appending a run claim failed"));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ScoreCalls.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
@@ -16,67 +16,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests that score whole texts: some at a time, the others wait in the order of their asking.
+ * Sends the requests that score complete texts, with limited concurrency and in FIFO order. Not
+ * thread-safe.
  */
-final class ScoreCalls {
-  private static final Logger LOG = LoggerFactory.getLogger(ScoreCalls.class);
-  private static final long SCORE_MILLIS = 2_500;
+final class ScoreCallQueue {
+  private static final Logger LOG = LoggerFactory.getLogger(ScoreCallQueue.class);
+  private static final long SCORE_TIMEOUT_MILLIS = 2_500;
 
-  /** Bounds the bodies held in memory; the admission bounds the calls at servers. */
-  private static final int SCORES_AT_ONCE = 48;
+  /** Limits the request bodies in memory; admission limits the calls per server. */
+  private static final int MAX_CONCURRENT_CALLS = 48;
 
   private static final String POST = "POST";
   private final GatewayContext context;
   private final Directory directory;
   private final RequestForwarder forwarder;
   private final JobScheduler scheduler;
-  private final Consumer<List<JobAction>> apply;
-  private final Queue<JobAction.Score> waiting = new ArrayDeque<>();
-  private int inProgress;
+  private final Consumer<List<JobAction>> actionHandler;
+  private final Queue<JobAction.Score> queue = new ArrayDeque<>();
+  private int callsInFlight;
 
   /**
-   * Creates the calls.
+   * Creates an empty queue.
    *
-   * @param apply takes what the scheduler decides when a score has come, or has not
+   * @param actionHandler receives the scheduler's actions after each call
    */
-  ScoreCalls(
+  ScoreCallQueue(
       GatewayContext context,
       Directory directory,
       RequestForwarder forwarder,
       JobScheduler scheduler,
-      Consumer<List<JobAction>> apply) {
+      Consumer<List<JobAction>> actionHandler) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.forwarder = Objects.requireNonNull(forwarder, "forwarder");
     this.scheduler = Objects.requireNonNull(scheduler, "scheduler");
-    this.apply = Objects.requireNonNull(apply, "apply");
+    this.actionHandler = Objects.requireNonNull(actionHandler, "actionHandler");
   }
 
-  /** Asks for a score when its turn comes, if its job still runs here then. */
-  void ask(JobAction.Score score) {
-    waiting.add(score);
-    beginNext();
+  /** Queues a scoring request; it is skipped if its job no longer runs here at its turn. */
+  void enqueue(JobAction.Score score) {
+    queue.add(score);
+    sendNext();
   }
 
-  private void beginNext() {
-    while (inProgress < SCORES_AT_ONCE && !waiting.isEmpty()) {
-      JobAction.Score next = waiting.poll();
+  private void sendNext() {
+    while (callsInFlight < MAX_CONCURRENT_CALLS && !queue.isEmpty()) {
+      JobAction.Score next = queue.poll();
       if (scheduler.isRunning(next.job().id())) {
-        begin(next);
+        send(next);
       }
     }
   }
 
-  private void begin(JobAction.Score action) {
+  private void send(JobAction.Score action) {
     ScoreCall score = action.item().score();
     String job = action.job().id();
     String item = action.item().id();
     Optional<Route> route = directory.routes().find(score.host(), score.path());
     if (route.isEmpty()) {
-      apply.accept(scheduler.onScoreFailed(job, item, 0, 1, 0, context.now()));
+      actionHandler.accept(scheduler.onScoreFailed(job, item, 0, 1, 0, context.now()));
       return;
     }
-    inProgress++;
+    callsInFlight++;
     Call call =
         new Call(
             score.id(),
@@ -86,36 +87,41 @@
             score.host(),
             List.of(),
             score.body(),
-            SCORE_MILLIS);
+            SCORE_TIMEOUT_MILLIS);
     forwarder
         .forward(route.get(), call, Source.SCORING)
         .subscribe()
         .with(
             outcome -> {
-              inProgress--;
+              callsInFlight--;
               onOutcome(job, item, route.get(), outcome);
-              beginNext();
+              sendNext();
             });
   }
 
   private void onOutcome(String job, String item, Route route, ForwardOutcome outcome) {
     if (outcome instanceof ForwardOutcome.Answered answered && answered.answer().isSuccess()) {
-      apply.accept(scheduler.onScored(job, item, answered.answer().signature()));
+      actionHandler.accept(scheduler.onScored(job, item, answered.answer().signature()));
       return;
     }
-    int mostErrors = Math.max(1, route.mostAttempts());
+    int maxErrors = Math.max(1, route.mostAttempts());
     LOG.atInfo()
         .addKeyValue("job", job)
         .addKeyValue("item", item)
         .addKeyValue("serverErrors", outcome.serverErrors())
         .addKeyValue("outcome", outcome.getClass().getSimpleName())
         .log("job: no score");
-    apply.accept(
+    actionHandler.accept(
         scheduler.onScoreFailed(
-            job, item, outcome.serverErrors(), mostErrors, pauseMillis(outcome), context.now()));
+            job,
+            item,
+            outcome.serverErrors(),
+            maxErrors,
+            retryDelayMillis(outcome),
+            context.now()));
   }
 
-  private static long pauseMillis(ForwardOutcome outcome) {
+  private static long retryDelayMillis(ForwardOutcome outcome) {
     return outcome instanceof ForwardOutcome.NotRun notRun ? notRun.retryAfterMillis() : 0;
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -82,40 +82,40 @@
     return new ServerEntry(ServerStart.of(name), "s", name + ":1", "z", 4, ready, Map.of());
   }
 
-  private void list(ServerEntry server) {
+  private void addEntry(ServerEntry server) {
     store.add(
         "servers", List.of(new TableService.Entry(server.start().id(), Codec.encode(server))));
   }
 
-  private void unlist(String server) {
+  private void removeEntry(String server) {
     store.add("servers", List.of(new TableService.Entry(server, null)));
   }
 
-  private void listServers() {
+  private void addServers() {
     for (String name : List.of("a", "b", "c")) {
-      list(server(name, true));
+      addEntry(server(name, true));
     }
   }
 
-  private static void broken(CrashLog node, String fingerprint, String server) {
+  private static void interrupt(CrashLog node, String fingerprint, String server) {
     node.onBroken(fingerprint, server(server, true)).subscribe().with(ignored -> {});
   }
 
-  private void crashes(CrashLog node, String... servers) {
+  private void crashServers(CrashLog node, String... servers) {
     for (String server : servers) {
       hasEnded.put(server, true);
-      broken(node, FINGERPRINT, server);
+      interrupt(node, FINGERPRINT, server);
     }
     timers.advance(10);
   }
 
   @Test
   void whatOneNodeHasSeenEveryNodeKnowsAndOneThatStartsLaterToo() {
-    listServers();
+    addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
-    crashes(first, "a");
-    crashes(second, "b");
+    crashServers(first, "a");
+    crashServers(second, "b");
     CrashLog third = node("o");
     for (CrashLog node : List.of(first, second, third)) {
       assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
@@ -124,10 +124,10 @@
 
   @Test
   void othersAtACrashingServerAreFreeAgainAfterARunThatEndsWell() {
-    listServers();
+    addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
-    crashes(first, "a");
+    crashServers(first, "a");
     first.onSound(FINGERPRINT);
     timers.advance(10);
     assertThat(first.isQuiet(), is(true));
@@ -135,88 +135,88 @@
     assertThat(store.newest("crashes").keySet(), hasSize(0));
   }
 
-  private static ServerEntry startOf(String name, long bornMillis) {
+  private static ServerEntry serverStartedAt(String name, long bornMillis) {
     return new ServerEntry(
         new ServerStart(name, bornMillis), "s", name + ":1", "z", 4, true, Map.of());
   }
 
-  private static void broken(CrashLog node, ServerEntry server) {
+  private static void interrupt(CrashLog node, ServerEntry server) {
     node.onBroken(FINGERPRINT, server).subscribe().with(ignored -> {});
   }
 
   @Test
   void aServerThatIsBackUnderItsIdHasEndedTooThoughItAnswersAsThatOne() {
-    list(startOf("a", 100));
-    list(startOf("b", 100));
+    addEntry(serverStartedAt("a", 100));
+    addEntry(serverStartedAt("b", 100));
     CrashLog node = node("n");
     hasEnded.put("a", false);
     hasEnded.put("b", false);
-    broken(node, startOf("a", 100));
-    broken(node, startOf("b", 100));
+    interrupt(node, serverStartedAt("a", 100));
+    interrupt(node, serverStartedAt("b", 100));
     timers.advance(10);
     assertThat(node.isQuiet(), is(true));
-    list(startOf("a", 3_100));
-    list(startOf("b", 3_200));
+    addEntry(serverStartedAt("a", 3_100));
+    addEntry(serverStartedAt("b", 3_200));
     timers.advance(10);
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
   }
 
   @Test
   void aServerThatAnswersAndWhoseEntryThenGoesLeavesAsPlanned() {
-    list(startOf("a", 100));
+    addEntry(serverStartedAt("a", 100));
     CrashLog node = node("n");
     hasEnded.put("a", false);
-    broken(node, startOf("a", 100));
+    interrupt(node, serverStartedAt("a", 100));
     timers.advance(10);
-    unlist("a");
+    removeEntry("a");
     timers.advance(10);
     assertThat(node.isQuiet(), is(true));
   }
 
   @Test
   void twoStartsOfOneServerAreTwoServersThatEnded() {
-    list(startOf("a", 300));
+    addEntry(serverStartedAt("a", 300));
     CrashLog node = node("n");
-    broken(node, startOf("a", 100));
-    broken(node, startOf("a", 200));
+    interrupt(node, serverStartedAt("a", 100));
+    interrupt(node, serverStartedAt("a", 200));
     timers.advance(10);
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
   }
 
   @Test
   void whatBreaksOffAtAServerThatLeavesAsPlannedIsNoCrash() {
-    list(server("a", false));
+    addEntry(server("a", false));
     CrashLog node = node("n");
-    unlist("b");
-    crashes(node, "a", "b");
+    removeEntry("b");
+    crashServers(node, "a", "b");
     assertThat(node.isQuiet(), is(true));
     assertThat(checks, equalTo(0));
   }
 
   @Test
   void whatBreaksOffAtAServerThatGoesOnIsNoCrash() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
     hasEnded.put("a", false);
     hasEnded.put("b", false);
-    broken(node, FINGERPRINT, "a");
-    broken(node, FINGERPRINT, "b");
+    interrupt(node, FINGERPRINT, "a");
+    interrupt(node, FINGERPRINT, "b");
     timers.advance(10_000);
-    unlist("a");
+    removeEntry("a");
     timers.advance(10);
     assertThat(node.isQuiet(), is(true));
   }
 
   @Test
   void aNodeThatIsCutOffFromServersThatGoOnAccusesNobody() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
     for (int i = 0; i < 50; i++) {
-      broken(node, "f" + i, "a");
-      broken(node, "f" + i, "b");
+      interrupt(node, "f" + i, "a");
+      interrupt(node, "f" + i, "b");
     }
     timers.advance(60_000);
-    unlist("a");
+    removeEntry("a");
     timers.advance(10);
     assertThat(node.isQuiet(), is(true));
     assertThat(store.puts, equalTo(0));
@@ -224,25 +224,25 @@
 
   @Test
   void aServerThatCannotBeAskedIsKnownToHaveEndedByItsEntryOrTheNextStart() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
-    broken(node, FINGERPRINT, "a");
-    broken(node, FINGERPRINT, "b");
+    interrupt(node, FINGERPRINT, "a");
+    interrupt(node, FINGERPRINT, "b");
     timers.advance(1_000);
     assertThat(node.isQuiet(), is(true));
-    unlist("a");
-    list(new ServerEntry(ServerStart.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
+    removeEntry("a");
+    addEntry(new ServerEntry(ServerStart.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
   }
 
   @Test
   void whileTheStoreIsAwayANodeGoesByWhatItHasSeenAndTellsItLater() {
-    listServers();
+    addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
     store.isDown = true;
-    crashes(first, "a", "b");
+    crashServers(first, "a", "b");
     assertThat(first.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
     assertThat(second.isQuiet(), is(true));
     store.isDown = false;
@@ -252,9 +252,9 @@
 
   @Test
   void aTrialIsOfOneNodeOnly() {
-    listServers();
+    addServers();
     List<CrashLog> nodes = List.of(node("n"), node("m"), node("o"));
-    crashes(nodes.get(0), "a", "b");
+    crashServers(nodes.get(0), "a", "b");
     timers.advance(FIRST_TRIAL_MILLIS);
     nodes.forEach(node -> node.claimTrial(FINGERPRINT, 1).subscribe().with(ignored -> {}));
     timers.advance(50);
@@ -265,9 +265,9 @@
 
   @Test
   void withoutTheStoreThereIsNoTrial() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
-    crashes(node, "a", "b");
+    crashServers(node, "a", "b");
     timers.advance(FIRST_TRIAL_MILLIS);
     store.isDown = true;
     boolean[] isOver = new boolean[1];
@@ -279,11 +279,11 @@
 
   @Test
   void manyRunsAtOneServerAskOnceAndAreToldInOneCall() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
     hasEnded.put("a", true);
     for (int i = 0; i < 64; i++) {
-      broken(node, "f" + i, "a");
+      interrupt(node, "f" + i, "a");
     }
     timers.advance(10);
     assertThat(checks, equalTo(1));
@@ -293,12 +293,12 @@
 
   @Test
   void ofManyRequestsUnderWhichServersEndNeitherNodeNorStoreKeepMoreThanAThousand() {
-    listServers();
+    addServers();
     CrashLog node = node("n");
-    crashes(node, "a", "b");
+    crashServers(node, "a", "b");
     hasEnded.put("c", true);
     for (int i = 0; i < 20_000; i++) {
-      broken(node, "f" + i, "c");
+      interrupt(node, "f" + i, "c");
       if (i % 500 == 0) {
         timers.advance(20);
       }
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -33,7 +33,7 @@
               new GatewayFixture.NoDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())));
 
-  private String runOfAPartitionWhoseFirstCandidateIs(String node) {
+  private String runWithFirstCandidate(String node) {
     for (int i = 0; ; i++) {
       if (beats.rankOf(log.streamOf("run" + i), node) == 0) {
         return "run" + i;
@@ -46,8 +46,8 @@
     for (String node : List.of("n", "other")) {
       beats.onBeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
     }
-    String own = runOfAPartitionWhoseFirstCandidateIs("n");
-    String others = runOfAPartitionWhoseFirstCandidateIs("other");
+    String own = runWithFirstCandidate("n");
+    String others = runWithFirstCandidate("other");
     log.start(beats);
     timers.advance(300);
     assertThat(log.isCaughtUp(own), is(true));
@@ -60,7 +60,7 @@
   @Test
   void whereTheLogHasDroppedClaimsTheNextOneIsAboveThem() {
     beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
-    String run = runOfAPartitionWhoseFirstCandidateIs("n");
+    String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     for (long epoch = 1; epoch <= 10; epoch++) {
       JobRecord claim = new JobRecord.RunTaken(run, epoch, "other", 1, epoch - 1);
@@ -78,7 +78,7 @@
   @Test
   void aRunnersClaimIsWrittenAgainBeforeTheLogDropsIt() {
     beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
-    String run = runOfAPartitionWhoseFirstCandidateIs("n");
+    String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     log.start(beats);
     timers.advance(100);
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -75,14 +75,14 @@
         .toList();
   }
 
-  private boolean isTextLeft() {
+  private boolean isTextSaved() {
     return !textRecords().isEmpty();
   }
 
   @Test
   void aRunnerThatLeavesGoesOnUntilItsRunIsTakenOver() {
     gateway.leave().subscribe().with(left -> {});
-    assertThat(isTextLeft(), is(true));
+    assertThat(isTextSaved(), is(true));
     timers.advance(400);
     assertThat(servers.cancelled, equalTo(0));
     assertThat(gateway.hasHandedOver(), is(false));
@@ -93,7 +93,7 @@
     assertThat(gateway.hasHandedOver(), is(true));
   }
 
-  private Gateway startAnew() {
+  private Gateway startSuccessor() {
     Gateway successor =
         new Gateway(
             new GatewayContext(
@@ -115,14 +115,14 @@
   void aRunnerThatStartsAnewGoesOnBehindTheLastEventThatItSaved() {
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
-    startAnew();
+    startSuccessor();
     timers.advance(1_000);
     assertThat(servers.lastEvents, contains(0L, 1L));
   }
 
   @Test
   void aRunnerThatStartsAnewNeedNotWatchTheBeatsFirst() {
-    startAnew();
+    startSuccessor();
     timers.advance(500);
     assertThat(servers.lastEvents, contains(0L, 0L));
   }
@@ -136,7 +136,7 @@
     assertThat(
         textRecords().stream().map(record -> record.parts().get(0).afterEvent()).toList(),
         contains(0L, 2L));
-    startAnew();
+    startSuccessor();
     timers.advance(1_000);
     assertThat(servers.lastEvents, contains(0L, 3L));
   }
@@ -145,7 +145,7 @@
   void aTextThatCouldNotBeSavedIsSavedAgain() {
     log.appends = MemoryLog.Manner.REFUSES;
     timers.advance(300);
-    assertThat(isTextLeft(), is(false));
+    assertThat(isTextSaved(), is(false));
     log.appends = MemoryLog.Manner.SOUND;
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
@@ -159,13 +159,13 @@
     assertThat(log.stream("jobs.0"), hasSize(before));
   }
 
-  private void takeByANodeThatIsGone(String run) {
+  private void appendClaimOfDeadNode(String run) {
     long readTo = log.stream("jobs.0").size();
     JobRecord taken = new JobRecord.RunTaken(run, readTo + 1, "gone", 1, readTo);
     log.stream("jobs.0").add(Codec.encode(taken));
   }
 
-  private long claimsOf(String run) {
+  private long ownClaimCount(String run) {
     return log.stream("jobs.0").stream()
         .map(bytes -> Codec.decode(bytes, JobRecord.class))
         .filter(record -> record instanceof JobRecord.RunTaken taken && taken.run().equals(run))
@@ -177,16 +177,16 @@
   void aRunWithoutOpenJobsIsClaimedOnlyWhileItsJobsAreKept() {
     JobRecord ended = new JobRecord.JobEnded("j");
     log.stream("jobs.0").add(Codec.encode(ended));
-    takeByANodeThatIsGone(MODEL);
-    takeByANodeThatIsGone("over");
+    appendClaimOfDeadNode(MODEL);
+    appendClaimOfDeadNode("over");
     timers.advance(3_000);
-    assertThat(claimsOf(MODEL), equalTo(2L));
-    assertThat(claimsOf("over"), equalTo(0L));
+    assertThat(ownClaimCount(MODEL), equalTo(2L));
+    assertThat(ownClaimCount("over"), equalTo(0L));
     timers.advance(165_000);
-    takeByANodeThatIsGone(MODEL);
-    long before = claimsOf(MODEL);
+    appendClaimOfDeadNode(MODEL);
+    long before = ownClaimCount(MODEL);
     timers.advance(3_000);
-    assertThat(claimsOf(MODEL), equalTo(before));
+    assertThat(ownClaimCount(MODEL), equalTo(before));
   }
 
   @Test
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -62,11 +62,11 @@
     return got;
   }
 
-  private void finish(String item) {
-    finish(item, "t");
+  private void appendResult(String item) {
+    appendResult(item, "t");
   }
 
-  private void finish(String item, String text) {
+  private void appendResult(String item, String text) {
     List<byte[]> texts = log.stream(jobLog.textStreamOf("m"));
     byte[] encoded = Codec.encode(new ResultText("j", item, text));
     texts.add(encoded);
@@ -75,14 +75,14 @@
     log.stream(jobLog.streamOf("m")).add(Codec.encode(record));
   }
 
-  private void begin() {
+  private void startLog() {
     jobLog.start(new BeatTable(1_500));
     timers.advance(10);
   }
 
   @Test
   void aJobIsAcceptedOnceItIsDurable() {
-    begin();
+    startLog();
     List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 2_000));
     assertThat(got, contains(new JobOutcome.Done()));
     timers.advance(100);
@@ -91,7 +91,7 @@
 
   @Test
   void aLostAnswerIsMadeUpForByReadingTheJobBack() {
-    begin();
+    startLog();
     log.appends = MemoryLog.Manner.LOSES_ANSWERS;
     List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
@@ -100,7 +100,7 @@
 
   @Test
   void aRefusalIsToldOnlyIfNoAppendCanHaveBeenDone() {
-    begin();
+    startLog();
     log.appends = MemoryLog.Manner.REFUSES;
     List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 1_000));
     timers.advance(1_100);
@@ -110,7 +110,7 @@
 
   @Test
   void anAppendThatIsStillUnderWayIsNeverToldAsRefused() {
-    begin();
+    startLog();
     log.appends = MemoryLog.Manner.SILENT;
     List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 500));
     timers.advance(600);
@@ -154,13 +154,13 @@
 
   @Test
   void aReaderWaitsForAResult() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
     timers.advance(200);
     assertThat(got, hasSize(0));
-    finish("x");
+    appendResult("x");
     timers.advance(100);
     JobOutcome.Results results = (JobOutcome.Results) got.get(0);
     assertThat(results.next(), is(1));
@@ -169,7 +169,7 @@
 
   @Test
   void aReaderThatWaitsInVainGetsAnEmptyAnswer() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
@@ -179,12 +179,12 @@
 
   @Test
   void resultsThatThisNodeHasNotReadYetAreLookedForBeforeItSaysThatThereAreNone() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.hangReads = true;
     timers.advance(2_300);
-    finish("x");
+    appendResult("x");
     log.hangReads = false;
     // The read that waits was sent while the log was silent and hangs on.
     List<JobOutcome> got = ask(service.read("", "j", 0, 0));
@@ -194,20 +194,20 @@
 
   @Test
   void anEndAndAResultOfOneReadAreNotAnsweredAsNothing() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
     timers.advance(10);
     log.stream(jobLog.streamOf("m")).add(Codec.encode((JobRecord) new JobRecord.JobEnded("j")));
-    finish("x");
+    appendResult("x");
     timers.advance(200);
     assertThat(((JobOutcome.Results) got.get(0)).next(), is(1));
   }
 
   @Test
   void theTextOfAnotherItemIsNeverGiven() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     log.stream(jobLog.textStreamOf("m")).add(Codec.encode(new ResultText("j", "y", "another")));
     JobRecord record =
@@ -219,11 +219,11 @@
 
   @Test
   void aCallerGetsItsAnswerInTimeThoughTheTextIsSlow() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.hangReads = true;
-    finish("x");
+    appendResult("x");
     timers.advance(50);
     List<JobOutcome> got = ask(service.read("", "j", 0, 0));
     timers.advance(1_300);
@@ -232,14 +232,14 @@
 
   @Test
   void aNodeThatCanNotReadTheLogDoesNotSayThatThereAreNoResults() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.reads = MemoryLog.Manner.REFUSES;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
     log.reads = MemoryLog.Manner.SOUND;
     timers.advance(1_000);
-    finish("x");
+    appendResult("x");
     timers.advance(1_000);
     log.reads = MemoryLog.Manner.REFUSES;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Results.class));
@@ -247,7 +247,7 @@
 
   @Test
   void anUnknownJobIsNotFoundOnlyIfTheLogWasReadToItsEnd() {
-    begin();
+    startLog();
     assertThat(ask(service.read("", "k", 0, 0)), contains(new JobOutcome.NotFound()));
     log.reads = MemoryLog.Manner.REFUSES;
     assertThat(ask(service.read("", "k", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
@@ -255,7 +255,7 @@
 
   @Test
   void aJobThatOtherNodesKnowAlreadyIsFoundByLooking() {
-    begin();
+    startLog();
     JobRecord part =
         new JobRecord.JobPart("j", 5, 0, 1, Codec.encode(submission("j", new byte[3])));
     log.stream(jobLog.streamOf("m")).add(Codec.encode(part));
@@ -264,7 +264,7 @@
 
   @Test
   void aJobOfAnotherTenantIsLikeNoJob() {
-    begin();
+    startLog();
     List<JobOutcome> first = ask(service.submit(submissionOf("one", "t"), 800));
     timers.advance(100);
     assertThat(first, contains(new JobOutcome.Done()));
@@ -282,7 +282,7 @@
 
   @Test
   void aJobUnderTheIdOfAnotherTenantsIsNotTaken() {
-    begin();
+    startLog();
     ask(service.submit(submissionOf("one", "t"), 800));
     timers.advance(100);
     List<JobOutcome> second = ask(service.submit(submissionOf("two", "t"), 800));
@@ -294,7 +294,7 @@
 
   @Test
   void anEndIsDurableBeforeItIsTold() {
-    begin();
+    startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.appends = MemoryLog.Manner.SILENT;
--- a/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
@@ -14,8 +14,8 @@
 /** Tables of one partition each; followers are told at once. */
 final class MemoryTables {
   private final ManualTimers timers;
-  final Map<String, List<TableService.Entry>> changes = new TreeMap<>();
-  final Map<String, List<Runnable>> waiting = new HashMap<>();
+  final Map<String, List<TableService.Entry>> changesByTable = new TreeMap<>();
+  final Map<String, List<Runnable>> waitersByTable = new HashMap<>();
   boolean isDown;
   int puts;
 
@@ -24,8 +24,8 @@
   }
 
   void add(String table, List<TableService.Entry> entries) {
-    changes.computeIfAbsent(table, key -> new ArrayList<>()).addAll(entries);
-    List<Runnable> woken = waiting.remove(table);
+    changesByTable.computeIfAbsent(table, key -> new ArrayList<>()).addAll(entries);
+    List<Runnable> woken = waitersByTable.remove(table);
     if (woken != null) {
       woken.forEach(Runnable::run);
     }
@@ -33,7 +33,7 @@
 
   Map<String, byte[]> newest(String table) {
     Map<String, byte[]> newest = new TreeMap<>();
-    changes
+    changesByTable
         .getOrDefault(table, List.of())
         .forEach(
             entry -> {
@@ -53,12 +53,12 @@
         List<Entry> entries = new ArrayList<>();
         newest(table).forEach((key, value) -> entries.add(new Entry(key, value)));
         return Uni.createFrom()
-            .item(new Page(entries, false, changes.getOrDefault(table, List.of()).size()));
+            .item(new Page(entries, false, changesByTable.getOrDefault(table, List.of()).size()));
       }
 
       @Override
       public Uni<Changes> changes(String table, long from, long waitMillis) {
-        return Uni.createFrom().emitter(emitter -> serve(table, (int) from, emitter));
+        return Uni.createFrom().emitter(emitter -> completeWhenChanged(table, (int) from, emitter));
       }
 
       @Override
@@ -74,14 +74,15 @@
     };
   }
 
-  private void serve(String table, int from, UniEmitter<? super TableService.Changes> emitter) {
-    List<TableService.Entry> all = changes.getOrDefault(table, List.of());
+  private void completeWhenChanged(
+      String table, int from, UniEmitter<? super TableService.Changes> emitter) {
+    List<TableService.Entry> all = changesByTable.getOrDefault(table, List.of());
     if (from < all.size()) {
       emitter.complete(new TableService.Changes(all.subList(from, all.size()), false, all.size()));
     } else {
-      waiting
+      waitersByTable
           .computeIfAbsent(table, key -> new ArrayList<>())
-          .add(() -> timers.after(1, () -> serve(table, from, emitter)));
+          .add(() -> timers.after(1, () -> completeWhenChanged(table, from, emitter)));
     }
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -22,19 +22,19 @@
 import org.passhaven.spi.DutyService;
 import org.passhaven.spi.LogService;
 
-class ResultTextsTest {
+class ResultTextCacheTest {
   private static final String STREAM = "results.0";
   private final ManualTimers timers = new ManualTimers();
   private final MemoryLog log = new MemoryLog(timers);
-  private final CountingLog counting = new CountingLog(log);
-  private final ResultTexts texts =
-      new ResultTexts(
+  private final CountingLog countingLog = new CountingLog(log);
+  private final ResultTextCache texts =
+      new ResultTextCache(
           new GatewayContext(
               GatewayFixture.settings(1, 262_144, 2_097_152),
               1,
               timers,
               bound -> 0,
-              counting,
+              countingLog,
               new GatewayFixture.NoTables(),
               new GatewayFixture.NoServers(),
               DutyService.NONE,
@@ -64,15 +64,15 @@
     }
   }
 
-  private ItemFinished listed(String item, String text) {
+  private ItemFinished appendResult(String item, String text) {
     byte[] record = Codec.encode(new ResultText("j", item, text));
     log.stream(STREAM).add(record);
     TextPlace place = new TextPlace(log.stream(STREAM).size() - 1, record.length);
     return new ItemFinished("j", item, true, place, List.of(1L), "s");
   }
 
-  private List<ItemFinished> listed(int items) {
-    return IntStream.range(0, items).mapToObj(i -> listed("x" + i, "t" + i)).toList();
+  private List<ItemFinished> appendResult(int items) {
+    return IntStream.range(0, items).mapToObj(i -> appendResult("x" + i, "t" + i)).toList();
   }
 
   private List<List<String>> read(List<ItemFinished> wanted) {
@@ -86,45 +86,45 @@
 
   @Test
   void textsComeInTheOrderOfTheResultsWhereverTheyLie() {
-    ItemFinished first = listed("a", "one");
-    ItemFinished second = listed("b", "two");
+    ItemFinished first = appendResult("a", "one");
+    ItemFinished second = appendResult("b", "two");
     ItemFinished givenUp = new ItemFinished("j", "c", false, null, List.of(), "");
     assertThat(read(List.of(second, givenUp, first)), contains(equalTo(List.of("two", "", "one"))));
   }
 
   @Test
   void whatOneReadDoesNotGiveIsReadOn() {
-    counting.maxRecords = 3;
-    List<String> got = read(listed(10)).get(0);
+    countingLog.maxRecords = 3;
+    List<String> got = read(appendResult(10)).get(0);
     assertThat(got, hasSize(10));
     assertThat(got.get(9), equalTo("t9"));
   }
 
   @Test
   void whatIsKnownNeedsNoRead() {
-    List<ItemFinished> wanted = listed(5);
+    List<ItemFinished> wanted = appendResult(5);
     read(wanted);
-    int reads = counting.reads;
+    int reads = countingLog.reads;
     log.reads = MemoryLog.Manner.REFUSES;
     assertThat(read(wanted).get(0), hasSize(5));
-    assertThat(counting.reads, equalTo(reads));
+    assertThat(countingLog.reads, equalTo(reads));
   }
 
   @Test
   void theOnesThatAreKnownAreGivenWhereTheOthersCanNotBeRead() {
-    List<ItemFinished> wanted = listed(5);
+    List<ItemFinished> wanted = appendResult(5);
     read(wanted.subList(0, 2));
     log.reads = MemoryLog.Manner.REFUSES;
     List<ItemFinished> more = new ArrayList<>(wanted);
-    more.add(listed("y", "new"));
+    more.add(appendResult("y", "new"));
     assertThat(read(more).get(0).size(), equalTo(5));
-    assertThat(read(List.of(listed("z", "newer"))), empty());
+    assertThat(read(List.of(appendResult("z", "newer"))), empty());
     assertThat(failures, contains("refused"));
   }
 
   @Test
   void aTextThatIsGoneIsAFailure() {
-    List<ItemFinished> wanted = listed(3);
+    List<ItemFinished> wanted = appendResult(3);
     log.truncate(STREAM, 2);
     assertThat(read(wanted), empty());
     assertThat(failures, contains("results.0 has no text at 0"));
@@ -135,15 +135,15 @@
     String large = "x".repeat(1_000_000);
     List<ItemFinished> wanted = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      wanted.add(listed("x" + i, large));
+      wanted.add(appendResult("x" + i, large));
     }
     for (ItemFinished result : wanted) {
       assertThat(read(List.of(result)).get(0), contains(large));
     }
-    int reads = counting.reads;
+    int reads = countingLog.reads;
     read(wanted.subList(11, 12));
-    assertThat(counting.reads, equalTo(reads));
+    assertThat(countingLog.reads, equalTo(reads));
     assertThat(read(wanted.subList(0, 1)).get(0), contains(large));
-    assertThat(reads, lessThan(counting.reads));
+    assertThat(reads, lessThan(countingLog.reads));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -44,11 +44,11 @@
   private final ResultWriter writer = new ResultWriter(context, jobLog);
 
   @BeforeEach
-  void acceptAJob() {
+  void acceptJob() {
     jobLog.addListener(
         (record, effect) -> {
           if (effect == JobTable.Effect.LISTED) {
-            writer.onListed(job(), ((JobRecord.ItemFinished) record).item());
+            writer.onResultRecorded(job(), ((JobRecord.ItemFinished) record).item());
           }
         });
     List<JobItem> items = new ArrayList<>();
@@ -72,7 +72,7 @@
 
   private List<List<String>> texts() {
     List<List<String>> got = new ArrayList<>();
-    new ResultTexts(context)
+    new ResultTextCache(context)
         .read("results.0", job().results(), timers.nowMillis() + 1_000)
         .subscribe()
         .with(got::add);
