--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -23,7 +23,7 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.TableService;
 
-/** What nodes make of runs that break off, with servers and a store that the test moves. */
+/** Guards against requests that crash servers being missed, or harmless ones being suspected. */
 class CrashLogTest {
   private static final String FINGERPRINT = "f";
   private static final long ANSWER_MILLIS = 2;
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void whatOneNodeHasSeenEveryNodeKnowsAndOneThatStartsLaterToo() {
+  void crashesSeenByOneNodeReachAllNodesAndLaterStarts() {
     addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void othersAtACrashingServerAreFreeAgainAfterARunThatEndsWell() {
+  void aSuccessfulRunClearsTheRequestOnAllNodes() {
     addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void aServerThatIsBackUnderItsIdHasEndedTooThoughItAnswersAsThatOne() {
+  void aRestartedServerWithTheSameIdCountsAsCrashedAlthoughItAnswers() {
     addEntry(serverStartedAt("a", 100));
     addEntry(serverStartedAt("b", 100));
     CrashLog node = node("n");
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void aServerThatAnswersAndWhoseEntryThenGoesLeavesAsPlanned() {
+  void aServerThatAnswersBeforeItsEntryIsRemovedIsNotACrash() {
     addEntry(serverStartedAt("a", 100));
     CrashLog node = node("n");
     hasEnded.put("a", false);
@@ -174,7 +174,7 @@
   }
 
   @Test
-  void twoStartsOfOneServerAreTwoServersThatEnded() {
+  void twoStartsOfOneServerCountAsTwoCrashes() {
     addEntry(serverStartedAt("a", 300));
     CrashLog node = node("n");
     interrupt(node, serverStartedAt("a", 100));
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void whatBreaksOffAtAServerThatLeavesAsPlannedIsNoCrash() {
+  void anInterruptionAtAServerThatShutsDownAsPlannedIsNotACrash() {
     addEntry(server("a", false));
     CrashLog node = node("n");
     removeEntry("b");
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void whatBreaksOffAtAServerThatGoesOnIsNoCrash() {
+  void anInterruptionAtAServerThatKeepsRunningIsNotACrash() {
     addServers();
     CrashLog node = node("n");
     hasEnded.put("a", false);
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void aNodeThatIsCutOffFromServersThatGoOnAccusesNobody() {
+  void aNodePartitionedFromRunningServersSuspectsNoRequest() {
     addServers();
     CrashLog node = node("n");
     for (int i = 0; i < 50; i++) {
@@ -223,7 +223,7 @@
   }
 
   @Test
-  void aServerThatCannotBeAskedIsKnownToHaveEndedByItsEntryOrTheNextStart() {
+  void anUnreachableServerCountsAsCrashedByEntryRemovalOrALaterStart() {
     addServers();
     CrashLog node = node("n");
     interrupt(node, FINGERPRINT, "a");
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void whileTheStoreIsAwayANodeGoesByWhatItHasSeenAndTellsItLater() {
+  void duringAStoreOutageANodeUsesItsOwnObservationsAndSharesThemLater() {
     addServers();
     CrashLog first = node("n");
     CrashLog second = node("m");
@@ -251,7 +251,7 @@
   }
 
   @Test
-  void aTrialIsOfOneNodeOnly() {
+  void onlyOneNodeTakesATrial() {
     addServers();
     List<CrashLog> nodes = List.of(node("n"), node("m"), node("o"));
     crashServers(nodes.get(0), "a", "b");
@@ -264,21 +264,21 @@
   }
 
   @Test
-  void withoutTheStoreThereIsNoTrial() {
+  void noTrialIsTakenWhileTheStoreIsUnavailable() {
     addServers();
     CrashLog node = node("n");
     crashServers(node, "a", "b");
     timers.advance(FIRST_TRIAL_MILLIS);
     store.isDown = true;
-    boolean[] isOver = new boolean[1];
-    node.claimTrial(FINGERPRINT, 1).subscribe().with(ignored -> isOver[0] = true);
+    boolean[] isCompleted = new boolean[1];
+    node.claimTrial(FINGERPRINT, 1).subscribe().with(ignored -> isCompleted[0] = true);
     timers.advance(500);
-    assertThat(isOver[0], is(true));
+    assertThat(isCompleted[0], is(true));
     assertThat(node.takeTrial(FINGERPRINT), is(false));
   }
 
   @Test
-  void manyRunsAtOneServerAskOnceAndAreToldInOneCall() {
+  void manyInterruptionsAtOneServerShareOneProbeAndOneWrite() {
     addServers();
     CrashLog node = node("n");
     hasEnded.put("a", true);
@@ -292,7 +292,7 @@
   }
 
   @Test
-  void ofManyRequestsUnderWhichServersEndNeitherNodeNorStoreKeepMoreThanAThousand() {
+  void nodesAndStoreKeepAtMostAThousandSuspects() {
     addServers();
     CrashLog node = node("n");
     crashServers(node, "a", "b");
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -13,16 +13,16 @@
 import org.passhaven.spi.BackEndService;
 import org.passhaven.spi.TableService;
 
-/** Settings of a gateway node under test, and surroundings that answer nothing. */
+/** Settings and non-answering services for tests of a gateway node. */
 final class GatewayFixture {
   private GatewayFixture() {}
 
-  /** Settings of node {@code n} in zone {@code z}. */
+  /** Returns settings of node {@code n} in zone {@code z}. */
   static GatewaySettings settings(int jobPartitions, int maxRecordBytes, int maxAppendBytes) {
     return settings("n", jobPartitions, maxRecordBytes, maxAppendBytes);
   }
 
-  /** Settings of some node in zone {@code z}. */
+  /** Returns settings of a node in zone {@code z}. */
   static GatewaySettings settings(
       String node, int jobPartitions, int maxRecordBytes, int maxAppendBytes) {
     return new GatewaySettings(
@@ -43,7 +43,7 @@
         0);
   }
 
-  /** Tables that give no answer. */
+  /** Table service that never answers. */
   static class NoTables implements TableService {
     @Override
     public Uni<Page> list(String table, String afterKey) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Servers that give no answer. */
+  /** Servers that never answer. */
   static class NoServers implements BackEndService {
     @Override
     public Uni<Answer> call(Target target, Call call) {
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Documents of which none can be read. */
+  /** Documents without any configuration or server; server entries can't be decoded. */
   static class NoDocuments implements PlatformDocuments {
     @Override
     public String operatorTable() {
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -14,6 +14,7 @@
 import org.passhaven.protocol.member.MemberBeat;
 import org.passhaven.spi.DutyService;
 
+/** Guards against overloaded startup reads and against lost or reused claims of runs. */
 class JobLogTest {
   private static final int PARTITIONS = 16;
   private final ManualTimers timers = new ManualTimers();
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void theFirstCandidateReadsAPartitionBeforeTheOthersDo() {
+  void theFirstCandidateReadsAPartitionBeforeOtherNodes() {
     for (String node : List.of("n", "other")) {
       beats.onBeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
     }
@@ -58,7 +59,7 @@
   }
 
   @Test
-  void whereTheLogHasDroppedClaimsTheNextOneIsAboveThem() {
+  void theNextClaimHasAHigherEpochThanTruncatedClaims() {
     beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
@@ -76,7 +77,7 @@
   }
 
   @Test
-  void aRunnersClaimIsWrittenAgainBeforeTheLogDropsIt() {
+  void anOwnersClaimIsRenewedBeforeTheLogDropsIt() {
     beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -33,6 +33,7 @@
 import org.passhaven.spi.BackEndService;
 import org.passhaven.spi.DutyService;
 
+/** Guards against losing partial texts or runs when an owner drains, stops or restarts. */
 class JobRunnerTest {
   private static final String MODEL = "m";
   private final ManualTimers timers = new ManualTimers();
@@ -52,7 +53,7 @@
           new GatewayMetrics(new SimpleMeterRegistry()));
   private final Gateway gateway = new Gateway(context);
 
-  /** A node that runs one item, of which one event was generated. */
+  /** Starts a node that runs one item with one generated event. */
   @BeforeEach
   void runOneItem() {
     gateway.start();
@@ -80,7 +81,7 @@
   }
 
   @Test
-  void aRunnerThatLeavesGoesOnUntilItsRunIsTakenOver() {
+  void aDrainingOwnerContinuesUntilItsRunIsTakenOver() {
     gateway.leave().subscribe().with(left -> {});
     assertThat(isTextSaved(), is(true));
     timers.advance(400);
@@ -112,7 +113,7 @@
   }
 
   @Test
-  void aRunnerThatStartsAnewGoesOnBehindTheLastEventThatItSaved() {
+  void aRestartedOwnerContinuesAfterTheLastSavedEvent() {
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
     startSuccessor();
@@ -121,14 +122,14 @@
   }
 
   @Test
-  void aRunnerThatStartsAnewNeedNotWatchTheBeatsFirst() {
+  void aRestartedOwnerDoesNotWaitForHeartbeats() {
     startSuccessor();
     timers.advance(500);
     assertThat(servers.lastEvents, contains(0L, 0L));
   }
 
   @Test
-  void aTextLongerThanARecordIsCutBetweenEvents() {
+  void aTextLongerThanARecordIsSplitBetweenEvents() {
     String long1 = "a".repeat(60_000);
     servers.running.get(0).emit(new BackEndService.Progress.Event(2, 0, long1));
     servers.running.get(0).emit(new BackEndService.Progress.Event(3, 0, long1));
@@ -142,7 +143,7 @@
   }
 
   @Test
-  void aTextThatCouldNotBeSavedIsSavedAgain() {
+  void aFailedSaveOfATextIsRetried() {
     log.appends = MemoryLog.Manner.REFUSES;
     timers.advance(300);
     assertThat(isTextSaved(), is(false));
@@ -152,7 +153,7 @@
   }
 
   @Test
-  void aRunnerThatLeavesClaimsNoRunAnew() {
+  void aDrainingOwnerClaimsNoRuns() {
     gateway.leave().subscribe().with(left -> {});
     int before = log.stream("jobs.0").size();
     timers.advance(3_000);
@@ -174,7 +175,7 @@
   }
 
   @Test
-  void aRunWithoutOpenJobsIsClaimedOnlyWhileItsJobsAreKept() {
+  void aRunWithoutOpenJobsIsClaimedOnlyWhileItsJobsAreRetained() {
     JobRecord ended = new JobRecord.JobEnded("j");
     log.stream("jobs.0").add(Codec.encode(ended));
     appendClaimOfDeadNode(MODEL);
@@ -190,7 +191,7 @@
   }
 
   @Test
-  void theEndOfAPlannedStopStopsWhatNobodyTook() {
+  void theEndOfADrainStopsRunsThatNoNodeTookOver() {
     gateway.leave().subscribe().with(left -> {});
     timers.advance(400);
     List<Boolean> ended = new ArrayList<>();
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -25,6 +25,7 @@
 import org.passhaven.protocol.job.TextPlace;
 import org.passhaven.spi.DutyService;
 
+/** Guards against answers to callers of batch jobs that the log does not back. */
 class JobServiceTest {
   private final ManualTimers timers = new ManualTimers();
   private final MemoryLog log = new MemoryLog(timers);
@@ -32,9 +33,9 @@
   private final JobLog jobLog = new JobLog(context);
   private final JobService service = new JobService(context, jobLog);
 
-  private GatewayContext context(int mostRecord, int mostAppend) {
+  private GatewayContext context(int maxRecordBytes, int maxAppendBytes) {
     return new GatewayContext(
-        GatewayFixture.settings(2, mostRecord, mostAppend),
+        GatewayFixture.settings(2, maxRecordBytes, maxAppendBytes),
         1,
         timers,
         bound -> 0,
@@ -56,10 +57,10 @@
     return new JobSubmission(id, "h", "/p/", tenant, "m", "m", 0, 0, 1, job.items());
   }
 
-  private List<JobOutcome> ask(Uni<JobOutcome> asked) {
-    List<JobOutcome> got = new ArrayList<>();
-    asked.subscribe().with(got::add);
-    return got;
+  private List<JobOutcome> ask(Uni<JobOutcome> pending) {
+    List<JobOutcome> outcomes = new ArrayList<>();
+    pending.subscribe().with(outcomes::add);
+    return outcomes;
   }
 
   private void appendResult(String item) {
@@ -83,42 +84,42 @@
   @Test
   void aJobIsAcceptedOnceItIsDurable() {
     startLog();
-    List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 2_000));
-    assertThat(got, contains(new JobOutcome.Done()));
+    List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 2_000));
+    assertThat(outcomes, contains(new JobOutcome.Done()));
     timers.advance(100);
     assertThat(jobLog.table().get("j").isOpen(), is(true));
   }
 
   @Test
-  void aLostAnswerIsMadeUpForByReadingTheJobBack() {
+  void aLostAppendAnswerIsRecoveredByReadingTheJobBack() {
     startLog();
     log.appends = MemoryLog.Manner.LOSES_ANSWERS;
-    List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 2_000));
+    List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    assertThat(got, contains(new JobOutcome.Done()));
+    assertThat(outcomes, contains(new JobOutcome.Done()));
   }
 
   @Test
-  void aRefusalIsToldOnlyIfNoAppendCanHaveBeenDone() {
+  void aSubmissionIsRefusedOnlyIfNoAppendCanHaveSucceeded() {
     startLog();
     log.appends = MemoryLog.Manner.REFUSES;
-    List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 1_000));
+    List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 1_000));
     timers.advance(1_100);
-    assertThat(got.get(0), instanceOf(JobOutcome.Refused.class));
+    assertThat(outcomes.get(0), instanceOf(JobOutcome.Refused.class));
     assertThat(log.appendCalls, greaterThan(2));
   }
 
   @Test
-  void anAppendThatIsStillUnderWayIsNeverToldAsRefused() {
+  void anAppendInFlightIsNeverReportedAsRefused() {
     startLog();
     log.appends = MemoryLog.Manner.SILENT;
-    List<JobOutcome> got = ask(service.submit(submission("j", new byte[3]), 500));
+    List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 500));
     timers.advance(600);
-    assertThat(got.get(0), instanceOf(JobOutcome.Unknown.class));
+    assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
   }
 
   @Test
-  void aLargeJobIsSplitAndPutTogetherAgain() {
+  void aLargeJobIsSplitAndReassembled() {
     GatewayContext small = context(2_048, 8_192);
     JobLog smallLog = new JobLog(small);
     JobService smallService = new JobService(small, smallLog);
@@ -134,19 +135,19 @@
   }
 
   @Test
-  void aLargeSubmissionThatIsLostGoesInSmallerAppends() {
+  void aLostLargeSubmissionIsRetriedInSmallerAppends() {
     GatewayContext small = context(2_048, 65_536);
     JobLog smallLog = new JobLog(small);
     JobService smallService = new JobService(small, smallLog);
     smallLog.start(new BeatTable(1_500));
     timers.advance(10);
     log.appends = MemoryLog.Manner.SILENT;
-    List<JobOutcome> got = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
+    List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
     timers.advance(5_000);
     int calls = log.appendCalls;
     log.appends = MemoryLog.Manner.SOUND;
     timers.advance(2_000);
-    assertThat(got, contains(new JobOutcome.Done()));
+    assertThat(outcomes, contains(new JobOutcome.Done()));
     assertThat(log.appendCalls - calls, greaterThan(8));
     timers.advance(200);
     assertThat(smallLog.table().get("j").item("x").body().length, is(50_000));
@@ -157,28 +158,28 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
+    List<JobOutcome> outcomes = ask(service.read("", "j", 0, 1_000));
     timers.advance(200);
-    assertThat(got, hasSize(0));
+    assertThat(outcomes, hasSize(0));
     appendResult("x");
     timers.advance(100);
-    JobOutcome.Results results = (JobOutcome.Results) got.get(0);
+    JobOutcome.Results results = (JobOutcome.Results) outcomes.get(0);
     assertThat(results.next(), is(1));
     assertThat(results.total(), is(1));
   }
 
   @Test
-  void aReaderThatWaitsInVainGetsAnEmptyAnswer() {
+  void aReaderGetsAnEmptyAnswerWhenTheWaitTimesOut() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
+    List<JobOutcome> outcomes = ask(service.read("", "j", 0, 1_000));
     timers.advance(1_100);
-    assertThat(((JobOutcome.Results) got.get(0)).results(), hasSize(0));
+    assertThat(((JobOutcome.Results) outcomes.get(0)).results(), hasSize(0));
   }
 
   @Test
-  void resultsThatThisNodeHasNotReadYetAreLookedForBeforeItSaysThatThereAreNone() {
+  void theLogIsRefreshedBeforeAnEmptyAnswer() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
@@ -186,27 +187,27 @@
     timers.advance(2_300);
     appendResult("x");
     log.hangReads = false;
-    // The read that waits was sent while the log was silent and hangs on.
-    List<JobOutcome> got = ask(service.read("", "j", 0, 0));
+    // The pending read was sent while the log did not answer, and never completes.
+    List<JobOutcome> outcomes = ask(service.read("", "j", 0, 0));
     timers.advance(10);
-    assertThat(((JobOutcome.Results) got.get(0)).next(), is(1));
+    assertThat(((JobOutcome.Results) outcomes.get(0)).next(), is(1));
   }
 
   @Test
-  void anEndAndAResultOfOneReadAreNotAnsweredAsNothing() {
+  void aResultAfterTheJobsEndInTheSameReadIsReturned() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    List<JobOutcome> got = ask(service.read("", "j", 0, 1_000));
+    List<JobOutcome> outcomes = ask(service.read("", "j", 0, 1_000));
     timers.advance(10);
     log.stream(jobLog.streamOf("m")).add(Codec.encode((JobRecord) new JobRecord.JobEnded("j")));
     appendResult("x");
     timers.advance(200);
-    assertThat(((JobOutcome.Results) got.get(0)).next(), is(1));
+    assertThat(((JobOutcome.Results) outcomes.get(0)).next(), is(1));
   }
 
   @Test
-  void theTextOfAnotherItemIsNeverGiven() {
+  void theTextOfAnotherItemIsNeverReturned() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     log.stream(jobLog.textStreamOf("m")).add(Codec.encode(new ResultText("j", "y", "another")));
@@ -218,20 +219,20 @@
   }
 
   @Test
-  void aCallerGetsItsAnswerInTimeThoughTheTextIsSlow() {
+  void aCallerIsAnsweredInTimeWhenTheTextReadHangs() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.hangReads = true;
     appendResult("x");
     timers.advance(50);
-    List<JobOutcome> got = ask(service.read("", "j", 0, 0));
+    List<JobOutcome> outcomes = ask(service.read("", "j", 0, 0));
     timers.advance(1_300);
-    assertThat(got.get(0), instanceOf(JobOutcome.Refused.class));
+    assertThat(outcomes.get(0), instanceOf(JobOutcome.Refused.class));
   }
 
   @Test
-  void aNodeThatCanNotReadTheLogDoesNotSayThatThereAreNoResults() {
+  void aNodeThatCannotReadTheLogDoesNotReportAnEmptyResult() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
@@ -254,7 +255,7 @@
   }
 
   @Test
-  void aJobThatOtherNodesKnowAlreadyIsFoundByLooking() {
+  void aJobKnownToOtherNodesIsFoundByARefresh() {
     startLog();
     JobRecord part =
         new JobRecord.JobPart("j", 5, 0, 1, Codec.encode(submission("j", new byte[3])));
@@ -263,7 +264,7 @@
   }
 
   @Test
-  void aJobOfAnotherTenantIsLikeNoJob() {
+  void aJobOfAnotherTenantIsReportedAsNotFound() {
     startLog();
     List<JobOutcome> first = ask(service.submit(submissionOf("one", "t"), 800));
     timers.advance(100);
@@ -281,7 +282,7 @@
   }
 
   @Test
-  void aJobUnderTheIdOfAnotherTenantsIsNotTaken() {
+  void aSubmissionWithTheIdOfAnotherTenantsJobIsRejected() {
     startLog();
     ask(service.submit(submissionOf("one", "t"), 800));
     timers.advance(100);
@@ -293,16 +294,16 @@
   }
 
   @Test
-  void anEndIsDurableBeforeItIsTold() {
+  void anEndIsDurableBeforeItIsAcknowledged() {
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     log.appends = MemoryLog.Manner.SILENT;
-    List<JobOutcome> got = ask(service.end("", "j", 800));
+    List<JobOutcome> outcomes = ask(service.end("", "j", 800));
     timers.advance(500);
-    assertThat(got, hasSize(0));
+    assertThat(outcomes, hasSize(0));
     timers.advance(400);
-    assertThat(got.get(0), instanceOf(JobOutcome.Unknown.class));
+    assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
     log.appends = MemoryLog.Manner.SOUND;
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
     timers.advance(100);
--- a/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
@@ -11,7 +11,7 @@
 import org.passhaven.spi.PlatformException;
 import org.passhaven.spi.TableService;
 
-/** Tables of one partition each; followers are told at once. */
+/** In-memory tables with one partition each; followers are notified of changes at once. */
 final class MemoryTables {
   private final ManualTimers timers;
   final Map<String, List<TableService.Entry>> changesByTable = new TreeMap<>();
@@ -25,9 +25,9 @@
 
   void add(String table, List<TableService.Entry> entries) {
     changesByTable.computeIfAbsent(table, key -> new ArrayList<>()).addAll(entries);
-    List<Runnable> woken = waitersByTable.remove(table);
-    if (woken != null) {
-      woken.forEach(Runnable::run);
+    List<Runnable> waiters = waitersByTable.remove(table);
+    if (waiters != null) {
+      waiters.forEach(Runnable::run);
     }
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -22,6 +22,7 @@
 import org.passhaven.spi.DutyService;
 import org.passhaven.spi.LogService;
 
+/** Guards against wrong, missing or repeatedly read texts of results. */
 class ResultTextCacheTest {
   private static final String STREAM = "results.0";
   private final ManualTimers timers = new ManualTimers();
@@ -42,7 +43,7 @@
               new GatewayMetrics(new SimpleMeterRegistry())));
   private final List<String> failures = new ArrayList<>();
 
-  /** A log that counts reads; each gives at most so many records. */
+  /** A log that counts reads and limits the number of records per read. */
   private static final class CountingLog implements LogService {
     private final MemoryLog log;
     private int maxRecords = 1_000;
@@ -76,32 +77,32 @@
   }
 
   private List<List<String>> read(List<ItemFinished> wanted) {
-    List<List<String>> got = new ArrayList<>();
+    List<List<String>> received = new ArrayList<>();
     texts
         .read(STREAM, wanted, timers.nowMillis() + 1_000)
         .subscribe()
-        .with(got::add, failure -> failures.add(failure.getMessage()));
-    return got;
+        .with(received::add, failure -> failures.add(failure.getMessage()));
+    return received;
   }
 
   @Test
-  void textsComeInTheOrderOfTheResultsWhereverTheyLie() {
+  void textsAreReturnedInTheOrderOfTheResults() {
     ItemFinished first = appendResult("a", "one");
     ItemFinished second = appendResult("b", "two");
-    ItemFinished givenUp = new ItemFinished("j", "c", false, null, List.of(), "");
-    assertThat(read(List.of(second, givenUp, first)), contains(equalTo(List.of("two", "", "one"))));
+    ItemFinished failed = new ItemFinished("j", "c", false, null, List.of(), "");
+    assertThat(read(List.of(second, failed, first)), contains(equalTo(List.of("two", "", "one"))));
   }
 
   @Test
-  void whatOneReadDoesNotGiveIsReadOn() {
+  void aPartialReadIsContinued() {
     countingLog.maxRecords = 3;
-    List<String> got = read(appendResult(10)).get(0);
-    assertThat(got, hasSize(10));
-    assertThat(got.get(9), equalTo("t9"));
+    List<String> received = read(appendResult(10)).get(0);
+    assertThat(received, hasSize(10));
+    assertThat(received.get(9), equalTo("t9"));
   }
 
   @Test
-  void whatIsKnownNeedsNoRead() {
+  void cachedTextsNeedNoRead() {
     List<ItemFinished> wanted = appendResult(5);
     read(wanted);
     int reads = countingLog.reads;
@@ -111,7 +112,7 @@
   }
 
   @Test
-  void theOnesThatAreKnownAreGivenWhereTheOthersCanNotBeRead() {
+  void cachedTextsAreReturnedWhenTheOthersCannotBeRead() {
     List<ItemFinished> wanted = appendResult(5);
     read(wanted.subList(0, 2));
     log.reads = MemoryLog.Manner.REFUSES;
@@ -123,7 +124,7 @@
   }
 
   @Test
-  void aTextThatIsGoneIsAFailure() {
+  void aMissingTextIsAFailure() {
     List<ItemFinished> wanted = appendResult(3);
     log.truncate(STREAM, 2);
     assertThat(read(wanted), empty());
@@ -131,7 +132,7 @@
   }
 
   @Test
-  void textsLongAgoAreReadAgain() {
+  void evictedTextsAreReadAgain() {
     String large = "x".repeat(1_000_000);
     List<ItemFinished> wanted = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -24,6 +24,7 @@
 import org.passhaven.protocol.job.JobSubmission;
 import org.passhaven.spi.DutyService;
 
+/** Guards against results without their texts and against lost results of failed appends. */
 class ResultWriterTest {
   private static final int ITEMS = 40;
   private final ManualTimers timers = new ManualTimers();
@@ -71,17 +72,17 @@
   }
 
   private List<List<String>> texts() {
-    List<List<String>> got = new ArrayList<>();
+    List<List<String>> received = new ArrayList<>();
     new ResultTextCache(context)
         .read("results.0", job().results(), timers.nowMillis() + 1_000)
         .subscribe()
-        .with(got::add);
+        .with(received::add);
     timers.advance(10);
-    return got;
+    return received;
   }
 
   @Test
-  void aResultIsListedWithThePlaceOfItsText() {
+  void aResultIsRecordedWithTheLocationOfItsText() {
     write(0, "one");
     write(1, "two");
     timers.advance(100);
@@ -89,7 +90,7 @@
   }
 
   @Test
-  void aResultWithoutTextNeedsNoPlace() {
+  void aResultWithoutTextNeedsNoLocation() {
     writer.write(job(), new ItemResult("j", "x0", false, "", List.of(), ""));
     timers.advance(100);
     assertThat(texts(), contains(equalTo(List.of(""))));
@@ -97,7 +98,7 @@
   }
 
   @Test
-  void nothingIsListedWhoseTextIsNotInTheLog() {
+  void noResultIsRecordedBeforeItsText() {
     log.appends = MemoryLog.Manner.SILENT;
     write(0, "one");
     timers.advance(5_000);
@@ -108,7 +109,7 @@
   }
 
   @Test
-  void anAppendWhoseAnswerIsLostIsRepeatedAndTheFirstResultCounts() {
+  void anAppendWithALostAnswerIsRepeatedAndTheFirstResultCounts() {
     log.appends = MemoryLog.Manner.LOSES_ANSWERS;
     write(0, "one");
     timers.advance(3_000);
@@ -120,7 +121,7 @@
   }
 
   @Test
-  void batchesThatAreLostGetSmaller() {
+  void lostBatchesAreRetriedInSmallerSizes() {
     String large = "x".repeat(50_000);
     log.appends = MemoryLog.Manner.SILENT;
     for (int i = 0; i < ITEMS; i++) {
@@ -131,8 +132,7 @@
     log.appends = MemoryLog.Manner.SOUND;
     timers.advance(3_000);
     assertThat(job().results(), hasSize(ITEMS));
-    // 2 MB in batches of a megabyte would need two appends; after five losses the first one has 64
-    // KB.
+    // Full batches would need two appends; after five losses the first batch is limited to 64 KB.
     assertThat(log.appendCalls - calls, greaterThan(4));
     assertThat(log.appendCalls - calls, lessThan(2 * ITEMS));
   }
