--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -70,7 +70,7 @@
   }
 
   /** Restarts the reads of the table, since pending ones may never be answered. */
-  void renew() {
+  void restartReads() {
     follower.renew();
   }
 
