--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -43,7 +43,7 @@
    * @param whenClaimed runs once a trial is claimed or denied; see {@link #isClaiming}
    */
   boolean mayRun(boolean isRunning, Runnable whenClaimed) {
-    if (crashes.isQuiet() || isInTrial) {
+    if (crashes.hasNoSuspects() || isInTrial) {
       return true;
     }
     Verdict verdict = crashes.verdict(fingerprint());
@@ -95,7 +95,7 @@
   /** Records the outcome of an attempt that a server answered. */
   void onAnswered(Outcome outcome) {
     boolean isSound = outcome == Outcome.SUCCESS || outcome == Outcome.FINAL;
-    if (isSound && !crashes.isQuiet()) {
+    if (isSound && !crashes.hasNoSuspects()) {
       crashes.onSound(fingerprint());
     }
     isInTrial &= outcome == Outcome.NOT_RUN;
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -75,7 +75,7 @@
   }
 
   /** Returns whether no request is suspected, so that fingerprints need not be computed. */
-  boolean isQuiet() {
+  boolean hasNoSuspects() {
     return table.isEmpty();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -29,7 +29,7 @@
 
   @Override
   public boolean mayBegin(JobSubmission job, JobItem item) {
-    if (crashes.isQuiet()) {
+    if (crashes.hasNoSuspects()) {
       return true;
     }
     String fingerprint = fingerprintOf(job, item);
@@ -53,7 +53,7 @@
 
   /** Clears an item of suspicion after a server generated its complete text. */
   void onCompleted(JobAction.Start start) {
-    if (!crashes.isQuiet()) {
+    if (!crashes.hasNoSuspects()) {
       crashes.onSound(fingerprintOf(start.job(), start.item()));
     }
   }
@@ -67,7 +67,7 @@
               .subscribe()
               .with(ignored -> {});
       case REFUSED, MISDIRECTED, UNREACHABLE -> {
-        if (!crashes.isQuiet()) {
+        if (!crashes.hasNoSuspects()) {
           crashes.giveTrialBack(fingerprintOf(start.job(), start.item()));
         }
       }
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -130,8 +130,8 @@
     crashServers(first, "a");
     first.onSound(FINGERPRINT);
     timers.advance(10);
-    assertThat(first.isQuiet(), is(true));
-    assertThat(second.isQuiet(), is(true));
+    assertThat(first.hasNoSuspects(), is(true));
+    assertThat(second.hasNoSuspects(), is(true));
     assertThat(store.newest("crashes").keySet(), hasSize(0));
   }
 
@@ -154,7 +154,7 @@
     interrupt(node, serverStartedAt("a", 100));
     interrupt(node, serverStartedAt("b", 100));
     timers.advance(10);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
     addEntry(serverStartedAt("a", 3_100));
     addEntry(serverStartedAt("b", 3_200));
     timers.advance(10);
@@ -170,7 +170,7 @@
     timers.advance(10);
     removeEntry("a");
     timers.advance(10);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
   }
 
   @Test
@@ -189,7 +189,7 @@
     CrashLog node = node("n");
     removeEntry("b");
     crashServers(node, "a", "b");
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
     assertThat(checks, equalTo(0));
   }
 
@@ -204,7 +204,7 @@
     timers.advance(10_000);
     removeEntry("a");
     timers.advance(10);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
   }
 
   @Test
@@ -218,7 +218,7 @@
     timers.advance(60_000);
     removeEntry("a");
     timers.advance(10);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
     assertThat(store.puts, equalTo(0));
   }
 
@@ -229,7 +229,7 @@
     interrupt(node, FINGERPRINT, "a");
     interrupt(node, FINGERPRINT, "b");
     timers.advance(1_000);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
     removeEntry("a");
     addEntry(new ServerEntry(ServerStart.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
@@ -244,7 +244,7 @@
     store.isDown = true;
     crashServers(first, "a", "b");
     assertThat(first.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
-    assertThat(second.isQuiet(), is(true));
+    assertThat(second.hasNoSuspects(), is(true));
     store.isDown = false;
     timers.advance(400);
     assertThat(second.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
@@ -307,7 +307,7 @@
     assertThat(store.newest("crashes").size(), equalTo(1_000 + 1));
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.TrialDue.class));
     timers.advance(1_300_000);
-    assertThat(node.isQuiet(), is(true));
+    assertThat(node.hasNoSuspects(), is(true));
     assertThat(store.newest("crashes").size(), equalTo(0));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -185,7 +185,7 @@
       last().succeed();
     }
     assertThat(outcomes, hasSize(100));
-    assertThat(crashes.isQuiet(), is(true));
+    assertThat(crashes.hasNoSuspects(), is(true));
     assertThat(crashChecks, equalTo(0));
     assertThat(tables.puts, equalTo(puts));
   }
@@ -217,7 +217,7 @@
     assertThat(sent, hasSize(3));
     last().succeed();
     assertThat(outcomes.get(1), instanceOf(ForwardOutcome.Answered.class));
-    assertThat(crashes.isQuiet(), is(true));
+    assertThat(crashes.hasNoSuspects(), is(true));
   }
 
   @Test
@@ -243,7 +243,7 @@
     timers.advance(20);
     assertThat("another server is asked", sent, hasSize(4));
     last().succeed();
-    assertThat(crashes.isQuiet(), is(true));
+    assertThat(crashes.hasNoSuspects(), is(true));
   }
 
   @Test
