--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -113,7 +113,7 @@
   /** Returns an unused trial when the request is over. */
   void close(boolean isRunning) {
     if (isInTrial && !isRunning) {
-      crashes.giveTrialBack(fingerprint());
+      crashes.returnTrial(fingerprint());
     }
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -98,7 +98,7 @@
   }
 
   /** Returns a taken trial in which no server ran the request. */
-  void giveTrialBack(String fingerprint) {
+  void returnTrial(String fingerprint) {
     table.giveTrialBack(fingerprint);
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -68,7 +68,7 @@
               .with(ignored -> {});
       case REFUSED, MISDIRECTED, UNREACHABLE -> {
         if (!crashes.hasNoSuspects()) {
-          crashes.giveTrialBack(fingerprintOf(start.job(), start.item()));
+          crashes.returnTrial(fingerprintOf(start.job(), start.item()));
         }
       }
       case SERVER_ERROR, IMPOSSIBLE, SILENT -> {}
