--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -107,7 +107,7 @@
    */
   Uni<Void> onOutcomeUnknown(ServerEntry server) {
     isInTrial = false;
-    return crashes.onBroken(fingerprint(), server);
+    return crashes.onInterrupted(fingerprint(), server);
   }
 
   /** Returns an unused trial when the request is over. */
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -151,7 +151,7 @@
    * Handles the interruption of a request at a server. Completes when it is known whether the
    * server crashed, or when that can't be determined soon.
    */
-  Uni<Void> onBroken(String fingerprint, ServerEntry server) {
+  Uni<Void> onInterrupted(String fingerprint, ServerEntry server) {
     return crashDetector.onInterrupted(fingerprint, server);
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -63,7 +63,7 @@
     switch (kind) {
       case CUT ->
           crashes
-              .onBroken(fingerprintOf(start.job(), start.item()), start.server())
+              .onInterrupted(fingerprintOf(start.job(), start.item()), start.server())
               .subscribe()
               .with(ignored -> {});
       case REFUSED, MISDIRECTED, UNREACHABLE -> {
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -98,7 +98,7 @@
   }
 
   private static void interrupt(CrashLog node, String fingerprint, String server) {
-    node.onBroken(fingerprint, server(server, true)).subscribe().with(ignored -> {});
+    node.onInterrupted(fingerprint, server(server, true)).subscribe().with(ignored -> {});
   }
 
   private void crashServers(CrashLog node, String... servers) {
@@ -141,7 +141,7 @@
   }
 
   private static void interrupt(CrashLog node, ServerEntry server) {
-    node.onBroken(FINGERPRINT, server).subscribe().with(ignored -> {});
+    node.onInterrupted(FINGERPRINT, server).subscribe().with(ignored -> {});
   }
 
   @Test
