--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -96,7 +96,7 @@
   void onAnswered(Outcome outcome) {
     boolean isSound = outcome == Outcome.SUCCESS || outcome == Outcome.FINAL;
     if (isSound && !crashes.hasNoSuspects()) {
-      crashes.onSound(fingerprint());
+      crashes.onSucceeded(fingerprint());
     }
     isInTrial &= outcome == Outcome.NOT_RUN;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
@@ -179,7 +179,7 @@
   }
 
   /** Clears a request of suspicion after it completed successfully. */
-  void onSound(String fingerprint) {
+  void onSucceeded(String fingerprint) {
     if (table.contains(fingerprint)) {
       forgetRequest(fingerprint, "a run ended well");
     }
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -54,7 +54,7 @@
   /** Clears an item of suspicion after a server generated its complete text. */
   void onCompleted(JobAction.Start start) {
     if (!crashes.hasNoSuspects()) {
-      crashes.onSound(fingerprintOf(start.job(), start.item()));
+      crashes.onSucceeded(fingerprintOf(start.job(), start.item()));
     }
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -128,7 +128,7 @@
     CrashLog first = node("n");
     CrashLog second = node("m");
     crashServers(first, "a");
-    first.onSound(FINGERPRINT);
+    first.onSucceeded(FINGERPRINT);
     timers.advance(10);
     assertThat(first.hasNoSuspects(), is(true));
     assertThat(second.hasNoSuspects(), is(true));
