--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -168,7 +168,7 @@
     if (lease.isHolder()) {
       return 0;
     }
-    return jobs.isRunner() || candidateRank() < FAST_READ_CANDIDATES
+    return jobs.ownsAnyRun() || candidateRank() < FAST_READ_CANDIDATES
         ? STANDBY_READ_PAUSE_MILLIS
         : IDLE_READ_PAUSE_MILLIS;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -55,7 +55,7 @@
     this.context = Objects.requireNonNull(given, "context").watched();
     this.jobLog = new JobLog(context);
     this.directory =
-        new Directory(context, () -> jobLog.isRunner() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
+        new Directory(context, () -> jobLog.ownsAnyRun() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
     this.crashes = new CrashLog(context, directory);
     this.meter =
         context.settings().usage().map(usage -> new UsageMeter(context, usage, this::liveNodes));
@@ -110,7 +110,7 @@
 
   /** Returns whether a failure of this node must be detected quickly. */
   private boolean isDependedOn() {
-    return jobLog.isRunner()
+    return jobLog.ownsAnyRun()
         || duties.isHolder()
         || jobLog.isCalled()
         || forwarder.requestsPerSecond() > 0
@@ -118,7 +118,7 @@
   }
 
   private long heartbeatReadPauseMillis() {
-    if (jobLog.isRunner() || jobLog.isNextRunner() || members.hasJustStarted()) {
+    if (jobLog.ownsAnyRun() || jobLog.isNextRunner() || members.hasJustStarted()) {
       return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
     boolean isAsked = context.now() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -131,7 +131,7 @@
   }
 
   /** Returns whether this node owns any run. */
-  boolean isRunner() {
+  boolean ownsAnyRun() {
     return !ownStreams.isEmpty();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -46,7 +46,7 @@
     logSlow();
     boolean isShared =
         log.table().open().stream().anyMatch(job -> !log.owners().isOwn(job.submission().run()));
-    return isShared && log.isRunner()
+    return isShared && log.ownsAnyRun()
         ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.now())
         : List.of();
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -85,7 +85,7 @@
     timers.advance(100);
     records.stream(stream).add(Codec.encode(log.claim(run).orElseThrow()));
     timers.advance(10_000);
-    assertThat(log.isRunner(), is(true));
+    assertThat(log.ownsAnyRun(), is(true));
     assertThat(records.stream(stream).size(), is(1));
     timers.advance(76_000);
     assertThat(records.stream(stream).size(), is(2));
