--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -112,7 +112,7 @@
   private boolean isDependedOn() {
     return jobLog.ownsAnyRun()
         || duties.isHolder()
-        || jobLog.isCalled()
+        || jobLog.hasRecentCallers()
         || forwarder.requestsPerSecond() > 0
         || announcedAddressesFor(context.settings().zone()).contains(context.settings().address());
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -136,7 +136,7 @@
   }
 
   /** Returns whether a caller recently used this node for a job. */
-  boolean isCalled() {
+  boolean hasRecentCallers() {
     return Arrays.stream(lastCallAtMillis)
         .anyMatch(atMillis -> context.now() - atMillis < RECENT_CALL_MILLIS);
   }
