--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -118,7 +118,7 @@
   }
 
   private long heartbeatReadPauseMillis() {
-    if (jobLog.ownsAnyRun() || jobLog.isNextRunner() || members.hasJustStarted()) {
+    if (jobLog.ownsAnyRun() || jobLog.isStandbyForOpenJobs() || members.hasJustStarted()) {
       return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
     boolean isAsked = context.now() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -142,7 +142,7 @@
   }
 
   /** Returns whether this node is on standby for a run with open jobs. */
-  boolean isNextRunner() {
+  boolean isStandbyForOpenJobs() {
     return heartbeats != null
         && table.open().stream().anyMatch(job -> isStandby(partitionOf(job.submission().run())));
   }
