--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -89,7 +89,7 @@
         .log("node: starts");
     directory.start();
     crashes.start();
-    members.start(() -> jobLog.start(members.beats()), jobLog::startSooner);
+    members.start(() -> jobLog.start(members.beats()), jobLog::rescheduleReads);
     context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.beats()));
     members.whenClocksParted(this::renewReads);
     jobLog.addOwnerListener(members::hurry);
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -189,7 +189,7 @@
   }
 
   /** Ranks the candidates again and starts or polls earlier, after other nodes were lost. */
-  void startSooner() {
+  void rescheduleReads() {
     if (heartbeats != null) {
       lastRankedAtMillis = NEVER_MILLIS;
       startScheduler.schedule(heartbeats);
