--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -149,7 +149,8 @@
 
   /** Registers a gauge of the job partitions that this node has not yet read to their ends. */
   public void showPartitionsBehind(JobLog log) {
-    registry.gauge("passhaven.gateway.partitions.behind", log, read -> read.behind().size());
+    registry.gauge(
+        "passhaven.gateway.partitions.behind", log, read -> read.laggingStreams().size());
   }
 
   /** Registers a gauge of the configuration's age; NaN while no configuration is known. */
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -263,7 +263,7 @@
   }
 
   /** Returns the streams never read to their ends, with the time since the log last answered. */
-  public Map<String, String> behind() {
+  public Map<String, String> laggingStreams() {
     Map<String, String> behind = new LinkedHashMap<>();
     for (LogTail tail : tails) {
       if (!tail.isCaughtUp()) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -297,7 +297,7 @@
     LOG.atInfo()
         .addKeyValue("job", id)
         .addKeyValue("known", log.table().get(id) != null)
-        .addKeyValue("behind", log.behind())
+        .addKeyValue("behind", log.laggingStreams())
         .addKeyValue("reason", failure == null ? "" : failure.getMessage())
         .log("job: can't be read here now");
     return new JobOutcome.Refused("the jobs can't be read now", UNAVAILABLE_RETRY_AFTER_MILLIS);
