--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -95,7 +95,7 @@
    * its own runs until other nodes take them over. Completes when the texts are in the log or the
    * time limit is reached.
    */
-  public Uni<Void> leave() {
+  public Uni<Void> drain() {
     runClaimer.stop();
     return saveAllTexts();
   }
