--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -208,7 +208,7 @@
     LOG.atInfo()
         .addKeyValue("node", context.settings().node())
         .addKeyValue("requests", forwarder.inProgress())
-        .addKeyValue("jobs", runner.running())
+        .addKeyValue("jobs", runner.runningJobCount())
         .log("node: leaves");
     stopping = true;
     duties.stop();
@@ -219,7 +219,7 @@
 
   /** Returns whether all jobs have ended or were taken over, so that the process may stop. */
   public boolean hasHandedOver() {
-    return runner.running() == 0;
+    return runner.runningJobCount() == 0;
   }
 
   /** Ends a planned stop: stops all work and completes when the process may exit. */
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -123,7 +123,7 @@
   }
 
   /** Returns the number of jobs that this node runs. */
-  public int running() {
+  public int runningJobCount() {
     return scheduler.running().size();
   }
 
