--- a/node/src/main/java/org/passhaven/node/gateway/JobOutcome.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobOutcome.java
@@ -18,7 +18,7 @@
   record NotFound() implements JobOutcome {}
 
   /** The id belongs to another tenant's job. */
-  record Taken() implements JobOutcome {}
+  record IdInUse() implements JobOutcome {}
 
   /**
    * Results of a job from a position on.
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Submits a job. Returns the outcome within {@code limitMillis}; it is {@link JobOutcome.Taken}
+   * Submits a job. Returns the outcome within {@code limitMillis}; it is {@link JobOutcome.IdInUse}
    * if another tenant has a job with the same id.
    */
   public Uni<JobOutcome> submit(JobSubmission submission, long limitMillis) {
@@ -66,7 +66,7 @@
         .map(
             outcome ->
                 outcome instanceof JobOutcome.Done && belongsToOtherTenant(submission)
-                    ? new JobOutcome.Taken()
+                    ? new JobOutcome.IdInUse()
                     : outcome);
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -289,7 +289,7 @@
     List<JobOutcome> second = ask(service.submit(submissionOf("two", "t"), 800));
     List<JobOutcome> again = ask(service.submit(submissionOf("one", "t"), 800));
     timers.advance(100);
-    assertThat(second, contains(new JobOutcome.Taken()));
+    assertThat(second, contains(new JobOutcome.IdInUse()));
     assertThat(again, contains(new JobOutcome.Done()));
   }
 
