--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -66,7 +66,7 @@
             timers,
             bound -> 0,
             new MemoryLog(timers),
-            store.asSeen(),
+            store.asService(),
             new Servers(),
             DutyService.NONE,
             new Documents(),
--- a/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
@@ -46,7 +46,7 @@
     return newest;
   }
 
-  TableService asSeen() {
+  TableService asService() {
     return new TableService() {
       @Override
       public Uni<Page> list(String table, String afterKey) {
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -112,7 +112,7 @@
             timers,
             bound -> 0,
             new MemoryLog(timers),
-            tables.asSeen(),
+            tables.asService(),
             new Servers(),
             DutyService.NONE,
             new Documents(),
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -95,7 +95,7 @@
             new WatchedTimers(timers),
             bound -> 0,
             new MemoryLog(timers),
-            tables.asSeen(),
+            tables.asService(),
             new Servers(),
             DutyService.NONE,
             new Documents(),
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -123,7 +123,7 @@
             new WatchedTimers(timers),
             bound -> 0,
             new MemoryLog(timers),
-            tables.asSeen(),
+            tables.asService(),
             new Servers(),
             DutyService.NONE,
             new Documents(),
