--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -132,7 +132,7 @@
     timers.advance(10);
     assertThat(first.hasNoSuspects(), is(true));
     assertThat(second.hasNoSuspects(), is(true));
-    assertThat(store.newest("crashes").keySet(), hasSize(0));
+    assertThat(store.currentValues("crashes").keySet(), hasSize(0));
   }
 
   private static ServerEntry serverStartedAt(String name, long bornMillis) {
@@ -288,7 +288,7 @@
     timers.advance(10);
     assertThat(checks, equalTo(1));
     assertThat(store.puts, equalTo(1));
-    assertThat(store.newest("crashes").keySet(), hasSize(64));
+    assertThat(store.currentValues("crashes").keySet(), hasSize(64));
   }
 
   @Test
@@ -304,10 +304,10 @@
       }
     }
     timers.advance(30_000);
-    assertThat(store.newest("crashes").size(), equalTo(1_000 + 1));
+    assertThat(store.currentValues("crashes").size(), equalTo(1_000 + 1));
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.TrialDue.class));
     timers.advance(1_300_000);
     assertThat(node.hasNoSuspects(), is(true));
-    assertThat(store.newest("crashes").size(), equalTo(0));
+    assertThat(store.currentValues("crashes").size(), equalTo(0));
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MemoryTables.java
@@ -31,7 +31,7 @@
     }
   }
 
-  Map<String, byte[]> newest(String table) {
+  Map<String, byte[]> currentValues(String table) {
     Map<String, byte[]> newest = new TreeMap<>();
     changesByTable
         .getOrDefault(table, List.of())
@@ -51,7 +51,7 @@
       @Override
       public Uni<Page> list(String table, String afterKey) {
         List<Entry> entries = new ArrayList<>();
-        newest(table).forEach((key, value) -> entries.add(new Entry(key, value)));
+        currentValues(table).forEach((key, value) -> entries.add(new Entry(key, value)));
         return Uni.createFrom()
             .item(new Page(entries, false, changesByTable.getOrDefault(table, List.of()).size()));
       }
