--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -45,7 +45,7 @@
           timers,
           bound -> 0,
           new MemoryLog(timers),
-          new GatewayFixture.NoTables(),
+          new GatewayFixture.SilentTables(),
           new GatewayFixture.NoServers(),
           DutyService.NONE,
           new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -87,7 +87,7 @@
         timers,
         bound -> 0,
         new MemoryLog(timers),
-        new GatewayFixture.NoTables(),
+        new GatewayFixture.SilentTables(),
         new ServersAtCapacity(),
         DutyService.NONE,
         new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -44,7 +44,7 @@
   }
 
   /** Table service that never answers. */
-  static class NoTables implements TableService {
+  static class SilentTables implements TableService {
     @Override
     public Uni<Page> list(String table, String afterKey) {
       return Uni.createFrom().nothing();
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -28,7 +28,7 @@
               timers,
               bound -> 0,
               records,
-              new GatewayFixture.NoTables(),
+              new GatewayFixture.SilentTables(),
               new GatewayFixture.NoServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -220,7 +220,7 @@
     }
   }
 
-  private static final class Tables extends GatewayFixture.NoTables {
+  private static final class Tables extends GatewayFixture.SilentTables {
     @Override
     public Uni<Page> list(String table, String afterKey) {
       return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -40,7 +40,7 @@
         timers,
         bound -> 0,
         log,
-        new GatewayFixture.NoTables(),
+        new GatewayFixture.SilentTables(),
         new GatewayFixture.NoServers(),
         DutyService.NONE,
         new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -38,7 +38,7 @@
               new WatchedTimers(timers),
               bound -> 0,
               log,
-              new GatewayFixture.NoTables(),
+              new GatewayFixture.SilentTables(),
               new GatewayFixture.NoServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -36,7 +36,7 @@
               timers,
               bound -> 0,
               countingLog,
-              new GatewayFixture.NoTables(),
+              new GatewayFixture.SilentTables(),
               new GatewayFixture.NoServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -36,7 +36,7 @@
           timers,
           bound -> 0,
           log,
-          new GatewayFixture.NoTables(),
+          new GatewayFixture.SilentTables(),
           new GatewayFixture.NoServers(),
           DutyService.NONE,
           new GatewayFixture.NoDocuments(),
