--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -46,7 +46,7 @@
           bound -> 0,
           new MemoryLog(timers),
           new GatewayFixture.SilentTables(),
-          new GatewayFixture.NoServers(),
+          new GatewayFixture.SilentServers(),
           DutyService.NONE,
           new GatewayFixture.NoDocuments(),
           new GatewayMetrics(new SimpleMeterRegistry()));
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -40,7 +40,7 @@
     }
   }
 
-  private final class Servers extends GatewayFixture.NoServers {
+  private final class Servers extends GatewayFixture.SilentServers {
     @Override
     public Uni<Boolean> hasEnded(Target target, long limitMillis) {
       checks++;
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -55,7 +55,7 @@
           new ForwardPlan(ROUTE, DEADLINE_MILLIS),
           new RecordingListener());
 
-  private static final class ServersAtCapacity extends GatewayFixture.NoServers {
+  private static final class ServersAtCapacity extends GatewayFixture.SilentServers {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -62,7 +62,7 @@
   }
 
   /** Servers that never answer. */
-  static class NoServers implements BackEndService {
+  static class SilentServers implements BackEndService {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       return Uni.createFrom().nothing();
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -29,7 +29,7 @@
               bound -> 0,
               records,
               new GatewayFixture.SilentTables(),
-              new GatewayFixture.NoServers(),
+              new GatewayFixture.SilentServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())));
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -203,7 +203,7 @@
     assertThat(servers.running, hasSize(1));
   }
 
-  private static final class Servers extends GatewayFixture.NoServers {
+  private static final class Servers extends GatewayFixture.SilentServers {
     final List<MultiEmitter<? super Progress>> running = new ArrayList<>();
     final List<Long> lastEvents = new ArrayList<>();
     int cancelled;
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -41,7 +41,7 @@
         bound -> 0,
         log,
         new GatewayFixture.SilentTables(),
-        new GatewayFixture.NoServers(),
+        new GatewayFixture.SilentServers(),
         DutyService.NONE,
         new GatewayFixture.NoDocuments(),
         new GatewayMetrics(new SimpleMeterRegistry()));
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -39,7 +39,7 @@
               bound -> 0,
               log,
               new GatewayFixture.SilentTables(),
-              new GatewayFixture.NoServers(),
+              new GatewayFixture.SilentServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())),
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -63,7 +63,7 @@
   private boolean isRefusing;
   private RequestForwarder forwarder;
 
-  private final class Servers extends GatewayFixture.NoServers {
+  private final class Servers extends GatewayFixture.SilentServers {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       sent.add(call.id());
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -65,7 +65,7 @@
     }
   }
 
-  private final class Servers extends GatewayFixture.NoServers {
+  private final class Servers extends GatewayFixture.SilentServers {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -37,7 +37,7 @@
               bound -> 0,
               countingLog,
               new GatewayFixture.SilentTables(),
-              new GatewayFixture.NoServers(),
+              new GatewayFixture.SilentServers(),
               DutyService.NONE,
               new GatewayFixture.NoDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -37,7 +37,7 @@
           bound -> 0,
           log,
           new GatewayFixture.SilentTables(),
-          new GatewayFixture.NoServers(),
+          new GatewayFixture.SilentServers(),
           DutyService.NONE,
           new GatewayFixture.NoDocuments(),
           new GatewayMetrics(new SimpleMeterRegistry()));
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -83,7 +83,7 @@
     }
   }
 
-  private final class Servers extends GatewayFixture.NoServers {
+  private final class Servers extends GatewayFixture.SilentServers {
     @Override
     public Uni<Answer> call(Target target, Call call) {
       return Uni.createFrom()
