--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -48,7 +48,7 @@
           new GatewayFixture.SilentTables(),
           new GatewayFixture.SilentServers(),
           DutyService.NONE,
-          new GatewayFixture.NoDocuments(),
+          new GatewayFixture.EmptyDocuments(),
           new GatewayMetrics(new SimpleMeterRegistry()));
   private final RequestAdmission admission =
       new RequestAdmission(
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -33,7 +33,7 @@
   private final Map<String, Boolean> hasEnded = new HashMap<>();
   private int checks;
 
-  private static final class Documents extends GatewayFixture.NoDocuments {
+  private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
     public ServerEntry server(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -90,7 +90,7 @@
         new GatewayFixture.SilentTables(),
         new ServersAtCapacity(),
         DutyService.NONE,
-        new GatewayFixture.NoDocuments(),
+        new GatewayFixture.EmptyDocuments(),
         new GatewayMetrics(new SimpleMeterRegistry()));
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -90,7 +90,7 @@
   }
 
   /** Documents without any configuration or server; server entries can't be decoded. */
-  static class NoDocuments implements PlatformDocuments {
+  static class EmptyDocuments implements PlatformDocuments {
     @Override
     public String operatorTable() {
       return "operator";
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -31,7 +31,7 @@
               new GatewayFixture.SilentTables(),
               new GatewayFixture.SilentServers(),
               DutyService.NONE,
-              new GatewayFixture.NoDocuments(),
+              new GatewayFixture.EmptyDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())));
 
   private String runWithFirstCandidate(String node) {
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -230,7 +230,7 @@
     }
   }
 
-  private static final class Documents extends GatewayFixture.NoDocuments {
+  private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
     public boolean isConfiguration(String key) {
       return true;
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -43,7 +43,7 @@
         new GatewayFixture.SilentTables(),
         new GatewayFixture.SilentServers(),
         DutyService.NONE,
-        new GatewayFixture.NoDocuments(),
+        new GatewayFixture.EmptyDocuments(),
         new GatewayMetrics(new SimpleMeterRegistry()));
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -41,7 +41,7 @@
               new GatewayFixture.SilentTables(),
               new GatewayFixture.SilentServers(),
               DutyService.NONE,
-              new GatewayFixture.NoDocuments(),
+              new GatewayFixture.EmptyDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())),
           () -> 0,
           () -> isDependedOn,
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -81,7 +81,7 @@
   }
 
   /** A configuration in which one tenant has its own priority. */
-  private static final class Documents extends GatewayFixture.NoDocuments {
+  private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
     public boolean isConfiguration(String key) {
       return true;
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -79,7 +79,7 @@
     }
   }
 
-  private static final class Documents extends GatewayFixture.NoDocuments {
+  private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
     public ServerEntry server(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -39,7 +39,7 @@
               new GatewayFixture.SilentTables(),
               new GatewayFixture.SilentServers(),
               DutyService.NONE,
-              new GatewayFixture.NoDocuments(),
+              new GatewayFixture.EmptyDocuments(),
               new GatewayMetrics(new SimpleMeterRegistry())));
   private final List<String> failures = new ArrayList<>();
 
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -39,7 +39,7 @@
           new GatewayFixture.SilentTables(),
           new GatewayFixture.SilentServers(),
           DutyService.NONE,
-          new GatewayFixture.NoDocuments(),
+          new GatewayFixture.EmptyDocuments(),
           new GatewayMetrics(new SimpleMeterRegistry()));
   private final JobLog jobLog = new JobLog(context);
   private final ResultWriter writer = new ResultWriter(context, jobLog);
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -97,7 +97,7 @@
     }
   }
 
-  private static final class Documents extends GatewayFixture.NoDocuments {
+  private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
     public ServerEntry server(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
