--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -13,7 +13,7 @@
  * single trials.
  */
 final class CrashGuard {
-  private final CrashLog crashes;
+  private final CrashTracker crashes;
   private final Call call;
 
   /** Computed on first use only, since most requests never need it. */
@@ -24,14 +24,14 @@
   private boolean isHeldBack;
   private long heldUntilMillis = Long.MIN_VALUE;
 
-  CrashGuard(CrashLog crashes, Call call) {
+  CrashGuard(CrashTracker crashes, Call call) {
     this.crashes = Objects.requireNonNull(crashes, "crashes");
     this.call = Objects.requireNonNull(call, "call");
   }
 
   private String fingerprint() {
     if (fingerprint == null) {
-      fingerprint = CrashLog.fingerprintOf(call);
+      fingerprint = CrashTracker.fingerprintOf(call);
     }
     return fingerprint;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -29,8 +29,8 @@
  * through a table in the store. While the store is unavailable, a node relies on its own
  * observations and writes them once the store is back. Not thread-safe.
  */
-public final class CrashLog {
-  private static final Logger LOG = LoggerFactory.getLogger(CrashLog.class);
+public final class CrashTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(CrashTracker.class);
 
   /** Time limit for writing a claim and reading it back. */
   private static final long CLAIM_TIMEOUT_MILLIS = 400;
@@ -48,7 +48,7 @@
   private final ServerCrashDetector crashDetector;
   private final BatchingTableWriter writer;
 
-  CrashLog(GatewayContext context, Directory directory) {
+  CrashTracker(GatewayContext context, Directory directory) {
     this.context = Objects.requireNonNull(context, "context");
     this.crashDetector = new ServerCrashDetector(context, directory, this::recordCrash);
     this.writer =
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -40,7 +40,7 @@
   private final GatewayContext context;
   private final MemberAgent members;
   private final Directory directory;
-  private final CrashLog crashes;
+  private final CrashTracker crashes;
   private final RequestForwarder forwarder;
   private final JobLog jobLog;
   private final JobService jobs;
@@ -56,7 +56,7 @@
     this.jobLog = new JobLog(context);
     this.directory =
         new Directory(context, () -> jobLog.ownsAnyRun() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
-    this.crashes = new CrashLog(context, directory);
+    this.crashes = new CrashTracker(context, directory);
     this.meter =
         context.settings().usage().map(usage -> new UsageMeter(context, usage, this::liveNodes));
     this.forwarder =
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -10,21 +10,21 @@
 import org.passhaven.spi.BackEndException;
 
 /**
- * Holds back batch items whose requests are suspected of crashing servers, until {@link CrashLog}
- * allows a trial.
+ * Holds back batch items whose requests are suspected of crashing servers, until {@link
+ * CrashTracker} allows a trial.
  */
 final class ItemCrashGate implements ItemGate {
-  private final CrashLog crashes;
+  private final CrashTracker crashes;
   private final Runnable scheduleDecision;
   private final Set<String> pendingClaims = new HashSet<>();
 
-  ItemCrashGate(CrashLog crashes, Runnable scheduleDecision) {
+  ItemCrashGate(CrashTracker crashes, Runnable scheduleDecision) {
     this.crashes = crashes;
     this.scheduleDecision = scheduleDecision;
   }
 
   private static String fingerprintOf(JobSubmission job, JobItem item) {
-    return CrashLog.fingerprintOf(JobRunner.callOf(job, item));
+    return CrashTracker.fingerprintOf(JobRunner.callOf(job, item));
   }
 
   @Override
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -58,7 +58,7 @@
       MemberAgent members,
       JobLog log,
       RequestForwarder forwarder,
-      CrashLog crashes) {
+      CrashTracker crashes) {
     this.crashGate = new ItemCrashGate(crashes, this::scheduleDecision);
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -42,7 +42,7 @@
   private static final String HELD_BACK_REASON = "servers have ended under it";
   private final GatewayContext context;
   private final Directory directory;
-  private final CrashLog crashes;
+  private final CrashTracker crashes;
   private final ShareRotation rotation;
   private final ServerHealth health = new ServerHealth();
   private final ServerCandidates candidates;
@@ -66,7 +66,7 @@
       GatewayContext context,
       Directory directory,
       Supplier<List<MemberBeat>> liveNodes,
-      CrashLog crashes,
+      CrashTracker crashes,
       RunListener runListener) {
     this.runListener = Objects.requireNonNull(runListener, "runListener");
     this.context = Objects.requireNonNull(context, "context");
--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
@@ -58,7 +58,7 @@
     }
   }
 
-  private CrashLog node(String name) {
+  private CrashTracker node(String name) {
     GatewayContext context =
         new GatewayContext(
             GatewayFixture.settings(name, 1, 262_144, 2_097_152),
@@ -73,7 +73,7 @@
             new GatewayMetrics(new SimpleMeterRegistry()));
     Directory directory = new Directory(context, () -> 0);
     directory.start();
-    CrashLog crashes = new CrashLog(context, directory);
+    CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
     return crashes;
   }
@@ -97,11 +97,11 @@
     }
   }
 
-  private static void interrupt(CrashLog node, String fingerprint, String server) {
+  private static void interrupt(CrashTracker node, String fingerprint, String server) {
     node.onInterrupted(fingerprint, server(server, true)).subscribe().with(ignored -> {});
   }
 
-  private void crashServers(CrashLog node, String... servers) {
+  private void crashServers(CrashTracker node, String... servers) {
     for (String server : servers) {
       hasEnded.put(server, true);
       interrupt(node, FINGERPRINT, server);
@@ -112,12 +112,12 @@
   @Test
   void crashesSeenByOneNodeReachAllNodesAndLaterStarts() {
     addServers();
-    CrashLog first = node("n");
-    CrashLog second = node("m");
+    CrashTracker first = node("n");
+    CrashTracker second = node("m");
     crashServers(first, "a");
     crashServers(second, "b");
-    CrashLog third = node("o");
-    for (CrashLog node : List.of(first, second, third)) {
+    CrashTracker third = node("o");
+    for (CrashTracker node : List.of(first, second, third)) {
       assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
     }
   }
@@ -125,8 +125,8 @@
   @Test
   void aSuccessfulRunClearsTheRequestOnAllNodes() {
     addServers();
-    CrashLog first = node("n");
-    CrashLog second = node("m");
+    CrashTracker first = node("n");
+    CrashTracker second = node("m");
     crashServers(first, "a");
     first.onSucceeded(FINGERPRINT);
     timers.advance(10);
@@ -140,7 +140,7 @@
         new ServerStart(name, bornMillis), "s", name + ":1", "z", 4, true, Map.of());
   }
 
-  private static void interrupt(CrashLog node, ServerEntry server) {
+  private static void interrupt(CrashTracker node, ServerEntry server) {
     node.onInterrupted(FINGERPRINT, server).subscribe().with(ignored -> {});
   }
 
@@ -148,7 +148,7 @@
   void aRestartedServerWithTheSameIdCountsAsCrashedAlthoughItAnswers() {
     addEntry(serverStartedAt("a", 100));
     addEntry(serverStartedAt("b", 100));
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     hasEnded.put("a", false);
     hasEnded.put("b", false);
     interrupt(node, serverStartedAt("a", 100));
@@ -164,7 +164,7 @@
   @Test
   void aServerThatAnswersBeforeItsEntryIsRemovedIsNotACrash() {
     addEntry(serverStartedAt("a", 100));
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     hasEnded.put("a", false);
     interrupt(node, serverStartedAt("a", 100));
     timers.advance(10);
@@ -176,7 +176,7 @@
   @Test
   void twoStartsOfOneServerCountAsTwoCrashes() {
     addEntry(serverStartedAt("a", 300));
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     interrupt(node, serverStartedAt("a", 100));
     interrupt(node, serverStartedAt("a", 200));
     timers.advance(10);
@@ -186,7 +186,7 @@
   @Test
   void anInterruptionAtAServerThatShutsDownAsPlannedIsNotACrash() {
     addEntry(server("a", false));
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     removeEntry("b");
     crashServers(node, "a", "b");
     assertThat(node.hasNoSuspects(), is(true));
@@ -196,7 +196,7 @@
   @Test
   void anInterruptionAtAServerThatKeepsRunningIsNotACrash() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     hasEnded.put("a", false);
     hasEnded.put("b", false);
     interrupt(node, FINGERPRINT, "a");
@@ -210,7 +210,7 @@
   @Test
   void aNodePartitionedFromRunningServersSuspectsNoRequest() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     for (int i = 0; i < 50; i++) {
       interrupt(node, "f" + i, "a");
       interrupt(node, "f" + i, "b");
@@ -225,7 +225,7 @@
   @Test
   void anUnreachableServerCountsAsCrashedByEntryRemovalOrALaterStart() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     interrupt(node, FINGERPRINT, "a");
     interrupt(node, FINGERPRINT, "b");
     timers.advance(1_000);
@@ -239,8 +239,8 @@
   @Test
   void duringAStoreOutageANodeUsesItsOwnObservationsAndSharesThemLater() {
     addServers();
-    CrashLog first = node("n");
-    CrashLog second = node("m");
+    CrashTracker first = node("n");
+    CrashTracker second = node("m");
     store.isDown = true;
     crashServers(first, "a", "b");
     assertThat(first.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
@@ -253,7 +253,7 @@
   @Test
   void onlyOneNodeTakesATrial() {
     addServers();
-    List<CrashLog> nodes = List.of(node("n"), node("m"), node("o"));
+    List<CrashTracker> nodes = List.of(node("n"), node("m"), node("o"));
     crashServers(nodes.get(0), "a", "b");
     timers.advance(FIRST_TRIAL_MILLIS);
     nodes.forEach(node -> node.claimTrial(FINGERPRINT, 1).subscribe().with(ignored -> {}));
@@ -266,7 +266,7 @@
   @Test
   void noTrialIsTakenWhileTheStoreIsUnavailable() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     crashServers(node, "a", "b");
     timers.advance(FIRST_TRIAL_MILLIS);
     store.isDown = true;
@@ -280,7 +280,7 @@
   @Test
   void manyInterruptionsAtOneServerShareOneProbeAndOneWrite() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     hasEnded.put("a", true);
     for (int i = 0; i < 64; i++) {
       interrupt(node, "f" + i, "a");
@@ -294,7 +294,7 @@
   @Test
   void nodesAndStoreKeepAtMostAThousandSuspects() {
     addServers();
-    CrashLog node = node("n");
+    CrashTracker node = node("n");
     crashServers(node, "a", "b");
     hasEnded.put("c", true);
     for (int i = 0; i < 20_000; i++) {
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -121,7 +121,7 @@
     List.of("a", "b", "c").forEach(this::list);
     Directory directory = new Directory(context, () -> 0);
     directory.start();
-    CrashLog crashes = new CrashLog(context, directory);
+    CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
     forwarder = new RequestForwarder(context, directory, List::of, crashes, (tenant, sentAt) -> {});
   }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -43,7 +43,7 @@
   private final List<ForwardOutcome> outcomes = new ArrayList<>();
   private List<MemberBeat> nodes = List.of();
   private int crashChecks;
-  private CrashLog crashes;
+  private CrashTracker crashes;
   private final List<String> requestsBegun = new ArrayList<>();
   private RequestForwarder forwarder;
 
@@ -103,7 +103,7 @@
     List.of("a", "b", "c").forEach(this::list);
     Directory directory = new Directory(context, () -> 0);
     directory.start();
-    crashes = new CrashLog(context, directory);
+    crashes = new CrashTracker(context, directory);
     crashes.start();
     forwarder =
         new RequestForwarder(
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -131,7 +131,7 @@
     IntStream.range(0, SERVERS).forEach(i -> list(entry(i, true)));
     Directory directory = new Directory(context, () -> 0);
     directory.start();
-    CrashLog crashes = new CrashLog(context, directory);
+    CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
     forwarder =
         new RequestForwarder(context, directory, () -> nodes, crashes, (tenant, sentAt) -> {});
