--- a/node/src/test/java/org/passhaven/node/gateway/CrashLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -24,7 +24,7 @@
 import org.passhaven.spi.TableService;
 
 /** Guards against requests that crash servers being missed, or harmless ones being suspected. */
-class CrashLogTest {
+class CrashTrackerTest {
   private static final String FINGERPRINT = "f";
   private static final long ANSWER_MILLIS = 2;
   private static final long FIRST_TRIAL_MILLIS = 4_100;
