--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -97,7 +97,7 @@
     return table.takeTrial(fingerprint, context.settings().node(), context.incarnation());
   }
 
-  /** Returns a taken trial in which no server ran the request. */
+  /** Makes a taken trial available again, after no server ran the request. */
   void returnTrial(String fingerprint) {
     table.giveTrialBack(fingerprint);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
@@ -21,7 +21,7 @@
   private static final long RETRY_DELAY_MILLIS = 120;
   private static final long REFUSAL_RETRY_AFTER_MILLIS = 300;
 
-  /** Upper bound of the encoding overhead of one record. */
+  /** Space reserved for the encoding overhead of one record. */
   static final int RECORD_OVERHEAD_BYTES = 1_024;
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -40,7 +40,7 @@
   private static final long OWNER_POLL_INTERVAL_MILLIS = 15;
   private static final long FOLLOWER_POLL_INTERVAL_MILLIS = 100;
 
-  /** Poll interval of partitions without recent callers at this node and not on standby here. */
+  /** Poll interval where this node has no recent callers and is not on standby. */
   private static final long IDLE_POLL_INTERVAL_MILLIS = 2_000;
 
   /** Time after a call for which the caller is expected to wait here or to call again. */
@@ -119,13 +119,13 @@
     }
   }
 
-  /** Returns the poll interval of a partition: owner, then caller or standby, then idle. */
+  /** Returns the poll interval of a partition, the shortest one for an owner of its runs. */
   private long pollIntervalMillis(int partition) {
     if (ownStreams.contains(STREAM_PREFIX + partition)) {
       return OWNER_POLL_INTERVAL_MILLIS;
     }
-    boolean isCalled = context.now() - lastCallAtMillis[partition] < RECENT_CALL_MILLIS;
-    return isCalled || isStandby(partition)
+    boolean hasRecentCaller = context.now() - lastCallAtMillis[partition] < RECENT_CALL_MILLIS;
+    return hasRecentCaller || isStandby(partition)
         ? FOLLOWER_POLL_INTERVAL_MILLIS
         : IDLE_POLL_INTERVAL_MILLIS;
   }
@@ -138,7 +138,7 @@
   /** Returns whether a caller recently used this node for a job. */
   boolean hasRecentCallers() {
     return Arrays.stream(lastCallAtMillis)
-        .anyMatch(atMillis -> context.now() - atMillis < RECENT_CALL_MILLIS);
+        .anyMatch(callAtMillis -> context.now() - callAtMillis < RECENT_CALL_MILLIS);
   }
 
   /** Returns whether this node is on standby for a run with open jobs. */
@@ -264,15 +264,15 @@
 
   /** Returns the streams never read to their ends, with the time since the log last answered. */
   public Map<String, String> laggingStreams() {
-    Map<String, String> behind = new LinkedHashMap<>();
+    Map<String, String> laggingStreams = new LinkedHashMap<>();
     for (LogTail tail : tails) {
       if (!tail.isCaughtUp()) {
         OptionalLong silent = tail.silentMillis();
-        behind.put(
+        laggingStreams.put(
             tail.stream(), silent.isPresent() ? silent.getAsLong() + " ms" : "no answer yet");
       }
     }
-    return behind;
+    return laggingStreams;
   }
 
   /** Returns the number of items without a result in open jobs, by model. */
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -100,7 +100,10 @@
     return saveAllTexts();
   }
 
-  /** Stops all jobs. Saves the texts of runs that no node has taken over; completes with that. */
+  /**
+   * Stops all jobs and saves the partial texts of the runs that this node still owns. Completes
+   * when they are in the log or the time limit is reached.
+   */
   public Uni<Void> stop() {
     runClaimer.stop();
     stopped = true;
