--- a/node/src/main/java/org/passhaven/node/gateway/BatchingTableWriter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/BatchingTableWriter.java
@@ -51,7 +51,7 @@
       LOG.atWarn()
           .addKeyValue("table", table)
           .addKeyValue("key", oldest)
-          .log("notes: too many unwritten entries, dropped the oldest");
+          .log("notes: too many are unwritten, one is dropped");
     }
     if (!isWriting && !unwritten.isEmpty()) {
       isWriting = true;
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -144,7 +144,7 @@
                 LOG.atInfo()
                     .addKeyValue("fingerprint", fingerprint)
                     .addKeyValue("reason", PlatformException.from(failure).getMessage())
-                    .log("crash: writing a trial claim failed"));
+                    .log("crash: a claim failed"));
   }
 
   /**
