--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -36,7 +36,7 @@
   private static final int FAST_READ_CANDIDATES = 4;
 
   private final GatewayContext context;
-  private final MemberAgent members;
+  private final MembershipAgent members;
   private final JobLog jobs;
   private final DutyLease lease;
   private final LogTail tail;
@@ -49,7 +49,7 @@
   private long lastUnansweredMillis = Long.MIN_VALUE / 2;
 
   /** Creates an agent; {@link #start} begins its work. */
-  DutyAgent(GatewayContext context, MemberAgent members, JobLog jobs) {
+  DutyAgent(GatewayContext context, MembershipAgent members, JobLog jobs) {
     this.context = Objects.requireNonNull(context, "context");
     this.members = Objects.requireNonNull(members, "members");
     this.jobs = Objects.requireNonNull(jobs, "jobs");
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -38,7 +38,7 @@
   private static final long FOLLOW_JOBS_DELAY_MILLIS = 1_500;
 
   private final GatewayContext context;
-  private final MemberAgent members;
+  private final MembershipAgent members;
   private final Directory directory;
   private final CrashTracker crashes;
   private final RequestForwarder forwarder;
@@ -68,7 +68,7 @@
             (tenant, sentAtMillis) ->
                 meter.ifPresent(usageMeter -> usageMeter.onRunStarted(tenant, sentAtMillis)));
     this.members =
-        new MemberAgent(
+        new MembershipAgent(
             context,
             forwarder::requestsPerSecond,
             this::isDependedOn,
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -39,7 +39,7 @@
   private static final String POST = "POST";
   private final GatewayContext context;
   private final Directory directory;
-  private final MemberAgent members;
+  private final MembershipAgent members;
   private final JobLog log;
   private final ItemCrashGate crashGate;
   private final ResultWriter results;
@@ -55,7 +55,7 @@
   public JobRunner(
       GatewayContext context,
       Directory directory,
-      MemberAgent members,
+      MembershipAgent members,
       JobLog log,
       RequestForwarder forwarder,
       CrashTracker crashes) {
--- a/node/src/main/java/org/passhaven/node/gateway/MemberAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -22,8 +22,8 @@
  * Appends this node's heartbeats to the log and reads those of all nodes, to detect which nodes are
  * alive. Not thread-safe: used on the node's event loop.
  */
-public final class MemberAgent {
-  private static final Logger LOG = LoggerFactory.getLogger(MemberAgent.class);
+public final class MembershipAgent {
+  private static final Logger LOG = LoggerFactory.getLogger(MembershipAgent.class);
   private static final String STREAM = "members.0";
 
   /** Time after the start in which a node sends heartbeats at the short period. */
@@ -68,7 +68,7 @@
    * @param isDependedOn whether a failure of this node must be detected quickly
    * @param betweenReadsMillis pause between reads of heartbeats, in milliseconds
    */
-  public MemberAgent(
+  public MembershipAgent(
       GatewayContext context,
       DoubleSupplier requestsPerSecond,
       BooleanSupplier isDependedOn,
@@ -331,7 +331,7 @@
 
     @Override
     public void onRecord(byte[] record) {
-      MemberAgent.this.onRecord(record);
+      MembershipAgent.this.onRecord(record);
     }
 
     @Override
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -12,11 +12,11 @@
 /** Claims ownership of runs for this node by appending claims to the log. */
 final class RunClaimer {
   private static final Logger LOG = LoggerFactory.getLogger(RunClaimer.class);
-  private final MemberAgent members;
+  private final MembershipAgent members;
   private final JobLog log;
   private boolean stopped;
 
-  RunClaimer(MemberAgent members, JobLog log) {
+  RunClaimer(MembershipAgent members, JobLog log) {
     this.members = Objects.requireNonNull(members, "members");
     this.log = Objects.requireNonNull(log, "log");
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -35,7 +35,7 @@
   private long nextLogLineMillis;
 
   /** Creates the exchange and registers it with the membership agent. */
-  ServerUseExchange(GatewayContext context, JobLog log, ServerView view, MemberAgent members) {
+  ServerUseExchange(GatewayContext context, JobLog log, ServerView view, MembershipAgent members) {
     this.context = Objects.requireNonNull(context, "context");
     this.log = Objects.requireNonNull(log, "log");
     this.view = Objects.requireNonNull(view, "view");
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -30,8 +30,8 @@
   private final ManualTimers timers = new ManualTimers();
   private final MemoryLog log = new MemoryLog(timers);
   private boolean isDependedOn;
-  private final MemberAgent agent =
-      new MemberAgent(
+  private final MembershipAgent agent =
+      new MembershipAgent(
           new GatewayContext(
               GatewayFixture.settings(1, 262_144, 2_097_152),
               1,
