--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -187,7 +187,7 @@
   /** Returns whether this decision can be skipped: another live node holds the lease. */
   private boolean isOnStandby(long nowMillis) {
     return !lease.isHolder()
-        && members.beats().isTaking(lease.holder(), lease.holderIncarnation())
+        && members.heartbeats().isTaking(lease.holder(), lease.holderIncarnation())
         && nowMillis - lastDecisionMillis < STANDBY_DECISION_INTERVAL_MILLIS;
   }
 
@@ -205,7 +205,7 @@
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
     boolean mayClaim = members.isSettled() || (isFormerHolder && members.isInTouch());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
-    BeatTable heartbeats = members.beats();
+    BeatTable heartbeats = members.heartbeats();
     boolean holderAlive =
         heartbeats.isTaking(lease.holder(), lease.holderIncarnation())
             || (lease.isFresh(now)
@@ -225,8 +225,8 @@
     if (lease.holder().equals(node)) {
       return 0;
     }
-    int behindHolder = members.beats().isTaking(lease.holder()) ? 1 : 0;
-    return behindHolder + members.beats().rankByYouth(node);
+    int behindHolder = members.heartbeats().isTaking(lease.holder()) ? 1 : 0;
+    return behindHolder + members.heartbeats().rankByYouth(node);
   }
 
   /** Appends a record to the duty stream; it takes effect when it is read back. */
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -89,8 +89,8 @@
         .log("node: starts");
     directory.start();
     crashes.start();
-    members.start(() -> jobLog.start(members.beats()), jobLog::rescheduleReads);
-    context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.beats()));
+    members.start(() -> jobLog.start(members.heartbeats()), jobLog::rescheduleReads);
+    context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.heartbeats()));
     members.whenClocksParted(this::renewReads);
     jobLog.addOwnerListener(members::hurry);
     jobLog.addOwnerListener(directory::endReadPause);
@@ -190,11 +190,11 @@
   }
 
   private List<MemberBeat> acceptingNodes() {
-    return members.beats().taking();
+    return members.heartbeats().taking();
   }
 
   private List<String> announcedAddressesFor(String zone) {
-    return members.beats().addressesFor(zone, MIN_NEAR_NODES, MAX_ADDRESSES);
+    return members.heartbeats().addressesFor(zone, MIN_NEAR_NODES, MAX_ADDRESSES);
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -226,7 +226,7 @@
           .addKeyValue("run", job.submission().run())
           .addKeyValue("step", job.submission().step())
           .addKeyValue("open", job.submission().items().size() - job.results().size())
-          .addKeyValue("live", members.beats().taking().size())
+          .addKeyValue("live", members.heartbeats().taking().size())
           .log("job: run here");
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -36,7 +36,7 @@
   private final GatewayContext context;
   private final DoubleSupplier requestsPerSecond;
   private final BooleanSupplier isDependedOn;
-  private final BeatTable beats;
+  private final BeatTable heartbeats;
   private final LogTail tail;
   private boolean isFollowing;
   private boolean isHeartbeatInFlight;
@@ -76,7 +76,7 @@
     this.context = Objects.requireNonNull(context, "context");
     this.requestsPerSecond = Objects.requireNonNull(requestsPerSecond, "requestsPerSecond");
     this.isDependedOn = Objects.requireNonNull(isDependedOn, "isDependedOn");
-    this.beats = new BeatTable(context.settings().silence().toMillis());
+    this.heartbeats = new BeatTable(context.settings().silence().toMillis());
     this.tail =
         new LogTail(
             context.log(), context.timers(), STREAM, betweenReadsMillis, new HeartbeatReader());
@@ -121,13 +121,13 @@
   }
 
   /** Returns the heartbeats of all nodes. */
-  public BeatTable beats() {
-    return beats;
+  public BeatTable heartbeats() {
+    return heartbeats;
   }
 
   /** Returns whether a recent heartbeat of this node was written and read back. */
   public boolean isInTouch() {
-    return now() - lastOwnReadMillis < beats.silenceMillis(announcedPeriodMillis);
+    return now() - lastOwnReadMillis < heartbeats.silenceMillis(announcedPeriodMillis);
   }
 
   /**
@@ -166,7 +166,7 @@
         && !isFleetLost
         && ownHeartbeatsRead < 2
         && context.now() - firstWrittenAtMillis < SETTLE_MILLIS
-        && beats.isLossDetectable();
+        && heartbeats.isLossDetectable();
   }
 
   /** Announces in a heartbeat that this node accepts no new work. */
@@ -190,7 +190,7 @@
   private long currentPeriodMillis() {
     return hasJustStarted() || isDependedOn.getAsBoolean()
         ? context.settings().beat().toMillis()
-        : BeatPace.idleMillis(beats.taking().size());
+        : BeatPace.idleMillis(heartbeats.taking().size());
   }
 
   private void append() {
@@ -269,7 +269,7 @@
       boolean isOwn =
           heartbeat.node().equals(context.settings().node())
               && heartbeat.incarnation() == context.incarnation();
-      beats.onBeat(heartbeat, context.now());
+      heartbeats.onBeat(heartbeat, context.now());
       if (isOwn) {
         onOwnHeartbeatRead();
       } else if (tail.isCaughtUp()) {
@@ -293,14 +293,14 @@
     if (isFleetLost || !tail.isCaughtUp() || !hasJustStarted()) {
       return;
     }
-    if (beats.isFleetLost()) {
+    if (heartbeats.isFleetLost()) {
       isFleetLost = true;
       context.metrics().fleetLosses.increment();
-      int before = beats.taking().size();
-      beats.forgetLost();
+      int before = heartbeats.taking().size();
+      heartbeats.forgetLost();
       LOG.atInfo()
           .addKeyValue("before", before)
-          .addKeyValue("live", beats.taking().size())
+          .addKeyValue("live", heartbeats.taking().size())
           .log("members: the fleet was lost");
       fleetLostCallback.run();
     }
@@ -312,7 +312,7 @@
   }
 
   private void logChange() {
-    List<String> now = beats.taking().stream().map(MemberBeat::node).toList();
+    List<String> now = heartbeats.taking().stream().map(MemberBeat::node).toList();
     if (tail.isCaughtUp() && !now.equals(lastLoggedNodes)) {
       lastLoggedNodes = now;
       LOG.atInfo()
@@ -336,7 +336,7 @@
 
     @Override
     public void onGap(long nextOffset) {
-      beats.onGap();
+      heartbeats.onGap();
     }
 
     @Override
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -42,7 +42,7 @@
   /** Claims a run if this node is its next owner. */
   void claim(String run) {
     boolean isOwnershipKnown =
-        members.isSettled() || log.owners().isOwnerOver(run, members.beats());
+        members.isSettled() || log.owners().isOwnerOver(run, members.heartbeats());
     if (stopped || !members.isInTouch() || !isOwnershipKnown) {
       return;
     }
@@ -51,7 +51,7 @@
       LOG.atInfo()
           .addKeyValue("run", run)
           .addKeyValue("epoch", claim.get().epoch())
-          .addKeyValue("live", members.beats().taking().size())
+          .addKeyValue("live", members.heartbeats().taking().size())
           .log("job: run claimed");
       append(claim.get());
     }
