--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -126,7 +126,7 @@
   }
 
   /** Returns whether a recent heartbeat of this node was written and read back. */
-  public boolean isInTouch() {
+  public boolean isLogReachable() {
     return now() - lastOwnReadMillis < heartbeats.silenceMillis(announcedPeriodMillis);
   }
 
@@ -151,9 +151,9 @@
   /** Returns whether heartbeats were read for long enough to know which nodes are alive. */
   public boolean isSettled() {
     if (isFleetLost) {
-      return isInTouch();
+      return isLogReachable();
     }
-    return isFollowing && isInTouch() && context.now() - firstWrittenAtMillis >= SETTLE_MILLIS;
+    return isFollowing && isLogReachable() && context.now() - firstWrittenAtMillis >= SETTLE_MILLIS;
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -43,7 +43,7 @@
   void claim(String run) {
     boolean isOwnershipKnown =
         members.isSettled() || log.owners().isOwnerOver(run, members.heartbeats());
-    if (stopped || !members.isInTouch() || !isOwnershipKnown) {
+    if (stopped || !members.isLogReachable() || !isOwnershipKnown) {
       return;
     }
     Optional<JobRecord.RunTaken> claim = log.claim(run);
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -137,7 +137,7 @@
     passStartup();
     assertThat(heartbeatsWithin(10_000), equalTo(10));
     assertThat(newestHeartbeat().periodMillis(), equalTo(1_000L));
-    assertThat(agent.isInTouch(), is(true));
+    assertThat(agent.isLogReachable(), is(true));
     assertThat(agent.heartbeats().isTaking("n"), is(true));
   }
 
@@ -181,12 +181,12 @@
   @Test
   void afterASuspensionTheLogIsReachableOnceALaterHeartbeatIsReadBack() {
     passStartup();
-    assertThat(agent.isInTouch(), is(true));
+    assertThat(agent.isLogReachable(), is(true));
     timers.suspend(5_000);
-    assertThat(agent.isInTouch(), is(false));
+    assertThat(agent.isLogReachable(), is(false));
     // It sends a heartbeat at its next tick, whatever its period, and reads immediately.
     timers.advance(600);
-    assertThat(agent.isInTouch(), is(true));
+    assertThat(agent.isLogReachable(), is(true));
   }
 
   @Test
@@ -195,7 +195,7 @@
     log.appends = MemoryLog.Manner.SILENT;
     timers.suspend(5_000);
     timers.advance(1_000);
-    assertThat(agent.isInTouch(), is(false));
+    assertThat(agent.isLogReachable(), is(false));
   }
 
   @Test
@@ -206,7 +206,7 @@
     log.hangReads = false;
     timers.suspend(5_000);
     timers.advance(1_100);
-    assertThat(agent.isInTouch(), is(true));
+    assertThat(agent.isLogReachable(), is(true));
   }
 
   private List<ServerUse> lastOwnUse() {
