--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -203,7 +203,7 @@
     lastDecisionMillis = now;
     // A former holder need not know the liveness of other nodes: only itself held the lease.
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
-    boolean mayClaim = members.isSettled() || (isFormerHolder && members.isLogReachable());
+    boolean mayClaim = members.isMembershipKnown() || (isFormerHolder && members.isLogReachable());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
     BeatTable heartbeats = members.heartbeats();
     boolean holderAlive =
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -149,7 +149,7 @@
   }
 
   /** Returns whether heartbeats were read for long enough to know which nodes are alive. */
-  public boolean isSettled() {
+  public boolean isMembershipKnown() {
     if (isFleetLost) {
       return isLogReachable();
     }
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -66,10 +66,10 @@
   void aLostFleetDoesNotDelayANewNode() {
     timers.advance(400);
     assertThat(fleetLostCalls, equalTo(0));
-    assertThat(agent.isSettled(), is(false));
+    assertThat(agent.isMembershipKnown(), is(false));
     timers.advance(300);
     assertThat(fleetLostCalls, equalTo(1));
-    assertThat(agent.isSettled(), is(true));
+    assertThat(agent.isMembershipKnown(), is(true));
     assertThat(agent.heartbeats().isTaking("old3"), is(false));
     passStartup();
     assertThat(fleetLostCalls, equalTo(1));
