--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -92,7 +92,7 @@
     members.start(() -> jobLog.start(members.heartbeats()), jobLog::rescheduleReads);
     context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.heartbeats()));
     members.whenClocksParted(this::renewReads);
-    jobLog.addOwnerListener(members::hurry);
+    jobLog.addOwnerListener(members::shortenIntervals);
     jobLog.addOwnerListener(directory::endReadPause);
     context.metrics().showPartitionsBehind(jobLog);
     context.metrics().showConfigurationAge(directory);
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -113,7 +113,7 @@
   }
 
   /** Shortens the heartbeat period and ends the read pause when others start to depend on it. */
-  void hurry() {
+  void shortenIntervals() {
     if (currentPeriodMillis() < announcedPeriodMillis) {
       sendIfDue();
     }
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -154,10 +154,10 @@
     passStartup();
     heartbeatsWithin(10_000);
     isDependedOn = true;
-    agent.hurry();
+    agent.shortenIntervals();
     assertThat(newestHeartbeat().periodMillis(), equalTo(500L));
     int recordsBefore = log.stream(STREAM).size();
-    agent.hurry();
+    agent.shortenIntervals();
     assertThat(log.stream(STREAM).size(), equalTo(recordsBefore));
   }
 
