--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -91,7 +91,7 @@
     crashes.start();
     members.start(() -> jobLog.start(members.heartbeats()), jobLog::rescheduleReads);
     context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.heartbeats()));
-    members.whenClocksParted(this::renewReads);
+    members.onClockJump(this::renewReads);
     jobLog.addOwnerListener(members::shortenIntervals);
     jobLog.addOwnerListener(directory::endReadPause);
     context.metrics().showPartitionsBehind(jobLog);
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -57,7 +57,7 @@
   private boolean isFleetLost;
   private Runnable followingCallback = () -> {};
   private Runnable fleetLostCallback = () -> {};
-  private Runnable whenClocksParted = () -> {};
+  private Runnable onClockJump = () -> {};
   private Supplier<List<ServerUse>> serverUse = List::of;
   private Consumer<MemberBeat> otherHeartbeatConsumer = heartbeat -> {};
 
@@ -97,8 +97,8 @@
   }
 
   /** Sets the task that runs after a clock jump, when pending reads may never complete. */
-  void whenClocksParted(Runnable task) {
-    whenClocksParted = Objects.requireNonNull(task, "task");
+  void onClockJump(Runnable task) {
+    onClockJump = Objects.requireNonNull(task, "task");
   }
 
   /**
@@ -143,7 +143,7 @@
       firstOffsetAfterJump = Long.MAX_VALUE;
       lastHeartbeatSentMillis = NEVER_MILLIS;
       tail.renew();
-      whenClocksParted.run();
+      onClockJump.run();
     }
     return now;
   }
