--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -214,7 +214,7 @@
     duties.stop();
     forwarder.admission().drain();
     // Generated texts must be in the log before the heartbeat makes other nodes take over.
-    return runner.drain().invoke(members::announceLeaving);
+    return runner.drain().invoke(members::announceDraining);
   }
 
   /** Returns whether all jobs have ended or were taken over, so that the process may stop. */
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -170,7 +170,7 @@
   }
 
   /** Announces in a heartbeat that this node accepts no new work. */
-  public void announceLeaving() {
+  public void announceDraining() {
     isAccepting = false;
     append();
   }
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -164,7 +164,7 @@
   @Test
   void aLeavingNodeAnnouncesItAtOnce() {
     passStartup();
-    agent.announceLeaving();
+    agent.announceDraining();
     assertThat(newestHeartbeat().taking(), is(false));
   }
 
