--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -48,7 +48,7 @@
   private final ServerCrashDetector crashDetector;
   private final BatchingTableWriter writer;
 
-  CrashTracker(GatewayContext context, Directory directory) {
+  CrashTracker(GatewayContext context, PlatformDirectory directory) {
     this.context = Objects.requireNonNull(context, "context");
     this.crashDetector = new ServerCrashDetector(context, directory, this::recordCrash);
     this.writer =
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -39,7 +39,7 @@
 
   private final GatewayContext context;
   private final MembershipAgent members;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final CrashTracker crashes;
   private final RequestForwarder forwarder;
   private final JobLog jobLog;
@@ -55,7 +55,8 @@
     this.context = Objects.requireNonNull(given, "context").watched();
     this.jobLog = new JobLog(context);
     this.directory =
-        new Directory(context, () -> jobLog.ownsAnyRun() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
+        new PlatformDirectory(
+            context, () -> jobLog.ownsAnyRun() ? 0 : IDLE_SERVER_READ_PAUSE_MILLIS);
     this.crashes = new CrashTracker(context, directory);
     this.meter =
         context.settings().usage().map(usage -> new UsageMeter(context, usage, this::liveNodes));
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -154,7 +154,7 @@
   }
 
   /** Registers a gauge of the configuration's age; NaN while no configuration is known. */
-  public void showConfigurationAge(Directory directory) {
+  public void showConfigurationAge(PlatformDirectory directory) {
     registry.gauge(
         "passhaven.gateway.configuration.age.seconds",
         directory,
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -38,7 +38,7 @@
   private static final long SAVE_PERIOD_MILLIS = 250;
   private static final String POST = "POST";
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final MembershipAgent members;
   private final JobLog log;
   private final ItemCrashGate crashGate;
@@ -54,7 +54,7 @@
   /** Creates the runner; {@link #start} starts it. */
   public JobRunner(
       GatewayContext context,
-      Directory directory,
+      PlatformDirectory directory,
       MembershipAgent members,
       JobLog log,
       RequestForwarder forwarder,
--- a/node/src/main/java/org/passhaven/node/gateway/Directory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -24,8 +24,8 @@
  * registered model servers, kept up to date by following the platform's tables. The configuration
  * version never decreases while the process runs. Not thread-safe: used on the node's event loop.
  */
-public final class Directory {
-  private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
+public final class PlatformDirectory {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformDirectory.class);
 
   /** Longer than a read of the operator's table takes on a slow store. */
   private static final long CONFIRM_TIMEOUT_MILLIS = 400;
@@ -50,7 +50,7 @@
    *
    * @param betweenServersMillis pause between reads of changed server entries, in milliseconds
    */
-  public Directory(GatewayContext context, LongSupplier betweenServersMillis) {
+  public PlatformDirectory(GatewayContext context, LongSupplier betweenServersMillis) {
     this.context = Objects.requireNonNull(context, "context");
     this.documents = context.documents();
     this.operator =
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -21,7 +21,7 @@
  */
 final class RequestAdmission {
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final Function<String, List<ServerEntry>> candidates;
   private final AdmissionLogger log = new AdmissionLogger();
   private final Map<String, Service> services = new HashMap<>();
@@ -34,7 +34,9 @@
    * @param candidates returns the servers of a service that this node may send to now
    */
   RequestAdmission(
-      GatewayContext context, Directory directory, Function<String, List<ServerEntry>> candidates) {
+      GatewayContext context,
+      PlatformDirectory directory,
+      Function<String, List<ServerEntry>> candidates) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.candidates = Objects.requireNonNull(candidates, "candidates");
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -41,7 +41,7 @@
 
   private static final String HELD_BACK_REASON = "servers have ended under it";
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final CrashTracker crashes;
   private final ShareRotation rotation;
   private final ServerHealth health = new ServerHealth();
@@ -64,7 +64,7 @@
    */
   RequestForwarder(
       GatewayContext context,
-      Directory directory,
+      PlatformDirectory directory,
       Supplier<List<MemberBeat>> liveNodes,
       CrashTracker crashes,
       RunListener runListener) {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
@@ -13,7 +13,7 @@
 final class RequestLogger {
   private static final Logger LOG = LoggerFactory.getLogger(RequestForwarder.class);
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final Route route;
   private final Call call;
   private final String service;
@@ -22,7 +22,7 @@
 
   RequestLogger(
       GatewayContext context,
-      Directory directory,
+      PlatformDirectory directory,
       Route route,
       Call call,
       String service,
--- a/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
@@ -28,7 +28,7 @@
 
   private static final String POST = "POST";
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final RequestForwarder forwarder;
   private final JobScheduler scheduler;
   private final Consumer<List<JobAction>> actionHandler;
@@ -42,7 +42,7 @@
    */
   ScoreCallQueue(
       GatewayContext context,
-      Directory directory,
+      PlatformDirectory directory,
       RequestForwarder forwarder,
       JobScheduler scheduler,
       Consumer<List<JobAction>> actionHandler) {
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -24,7 +24,7 @@
 final class ServerCandidates {
   private static final Logger LOG = LoggerFactory.getLogger(ServerCandidates.class);
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final ServerHealth health;
   private final Supplier<List<MemberBeat>> liveNodes;
   private final Member self;
@@ -45,7 +45,7 @@
 
   ServerCandidates(
       GatewayContext context,
-      Directory directory,
+      PlatformDirectory directory,
       ServerHealth health,
       Supplier<List<MemberBeat>> liveNodes) {
     this.context = Objects.requireNonNull(context, "context");
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -22,7 +22,7 @@
 
   private static final int MAX_UNRESOLVED = 1_000;
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final Listener listener;
   private final List<Interruption> unresolved = new ArrayList<>();
   private final Map<ServerStart, Uni<Boolean>> probesInFlight = new HashMap<>();
@@ -42,7 +42,7 @@
   private record Interruption(
       String fingerprint, ServerEntry server, long interruptedAtMillis, boolean hasAnswered) {}
 
-  ServerCrashDetector(GatewayContext context, Directory directory, Listener listener) {
+  ServerCrashDetector(GatewayContext context, PlatformDirectory directory, Listener listener) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.listener = Objects.requireNonNull(listener, "listener");
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -29,13 +29,14 @@
   private static final long UNREACHABLE_RETRY_DELAY_MILLIS = 1_500;
 
   private final GatewayContext context;
-  private final Directory directory;
+  private final PlatformDirectory directory;
   private final JobLog jobs;
   private final DutyAgent duties;
   private final VersionOrderPlanner planner;
 
   /** Creates the duty and adds it to the agent. */
-  VersionOrderDuty(GatewayContext context, Directory directory, JobLog jobs, DutyAgent duties) {
+  VersionOrderDuty(
+      GatewayContext context, PlatformDirectory directory, JobLog jobs, DutyAgent duties) {
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.jobs = Objects.requireNonNull(jobs, "jobs");
--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -52,7 +52,7 @@
           new GatewayMetrics(new SimpleMeterRegistry()));
   private final RequestAdmission admission =
       new RequestAdmission(
-          context, new Directory(context, () -> 0), AdmissionServicesTest::serversOf);
+          context, new PlatformDirectory(context, () -> 0), AdmissionServicesTest::serversOf);
   private final List<String> events = new ArrayList<>();
 
   private static List<ServerEntry> serversOf(String service) {
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -71,7 +71,7 @@
             DutyService.NONE,
             new Documents(),
             new GatewayMetrics(new SimpleMeterRegistry()));
-    Directory directory = new Directory(context, () -> 0);
+    PlatformDirectory directory = new PlatformDirectory(context, () -> 0);
     directory.start();
     CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -119,7 +119,7 @@
             new GatewayMetrics(meters));
     tables.add("operator", List.of(new Entry("configuration", new byte[0])));
     List.of("a", "b", "c").forEach(this::list);
-    Directory directory = new Directory(context, () -> 0);
+    PlatformDirectory directory = new PlatformDirectory(context, () -> 0);
     directory.start();
     CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -101,7 +101,7 @@
             new Documents(),
             new GatewayMetrics(new SimpleMeterRegistry()));
     List.of("a", "b", "c").forEach(this::list);
-    Directory directory = new Directory(context, () -> 0);
+    PlatformDirectory directory = new PlatformDirectory(context, () -> 0);
     directory.start();
     crashes = new CrashTracker(context, directory);
     crashes.start();
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -129,7 +129,7 @@
             new Documents(),
             metrics);
     IntStream.range(0, SERVERS).forEach(i -> list(entry(i, true)));
-    Directory directory = new Directory(context, () -> 0);
+    PlatformDirectory directory = new PlatformDirectory(context, () -> 0);
     directory.start();
     CrashTracker crashes = new CrashTracker(context, directory);
     crashes.start();
