--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -104,7 +104,7 @@
 
   /** Restarts reads after a suspension, since pending ones may never complete. */
   private void renewReads() {
-    directory.renew();
+    directory.restartReads();
     crashes.restartReads();
     duties.restartReads();
   }
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -83,7 +83,7 @@
   }
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
-  void renew() {
+  void restartReads() {
     operator.renew();
     serverEntries.renew();
   }
