--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -198,7 +198,9 @@
     // Reads the former owner's texts early, since the run's next job may continue them.
     log.owners().ownRuns().forEach(run -> texts.inheritedTextsOf(run, log.owners().epochOf(run)));
     if (scheduler.hasJobs()) {
-      apply(scheduler.decide(directory.servers().all(), directory.named(), context.now()));
+      apply(
+          scheduler.decide(
+              directory.servers().all(), directory.announcedVersions(), context.now()));
     }
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -39,7 +39,7 @@
   private final GatewayContext context;
   private final PlatformDocuments documents;
   private final ServerTable servers = new ServerTable();
-  private final Map<String, NamedVersion> named = new HashMap<>();
+  private final Map<String, NamedVersion> announcedVersions = new HashMap<>();
   private final List<Runnable> listeners = new ArrayList<>();
   private final TableFollower operator;
   private final TableFollower serverEntries;
@@ -132,14 +132,14 @@
   }
 
   /** Returns the newest named weight version of each model. */
-  public Map<String, NamedVersion> named() {
-    return named;
+  public Map<String, NamedVersion> announcedVersions() {
+    return announcedVersions;
   }
 
   /** Returns the number of the newest named weight version of each model. */
   public Map<String, Long> newestVersions() {
     Map<String, Long> versions = new HashMap<>();
-    named.forEach((model, newest) -> versions.put(model, newest.version()));
+    announcedVersions.forEach((model, newest) -> versions.put(model, newest.version()));
     return versions;
   }
 
@@ -197,9 +197,9 @@
     }
 
     private void onVersionAnnounced(String model, long version) {
-      NamedVersion before = named.get(model);
+      NamedVersion before = announcedVersions.get(model);
       if (before == null || version > before.version()) {
-        named.put(model, new NamedVersion(version, context.now()));
+        announcedVersions.put(model, new NamedVersion(version, context.now()));
         LOG.atInfo()
             .addKeyValue("model", model)
             .addKeyValue("version", version)
