--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -144,7 +144,7 @@
   }
 
   /** Records that a server has loaded a weight version, which its entry may not show yet. */
-  public void onReached(ServerStart start, String model, long version) {
+  public void onVersionLoaded(ServerStart start, String model, long version) {
     ServerEntry before = servers.get(start);
     servers.onReached(start, model, version);
     if (!Objects.equals(before, servers.get(start))) {
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -49,7 +49,7 @@
   @Override
   public void onRecord(DutyRecord record) {
     if (record instanceof DutyRecord.Reached reached) {
-      directory.onReached(
+      directory.onVersionLoaded(
           new ServerStart(reached.server(), reached.serverBornMillis()),
           reached.model(),
           reached.version());
@@ -184,7 +184,7 @@
 
   private void onVersionReached(Wanted wanted) {
     ServerStart server = wanted.server().start();
-    directory.onReached(server, wanted.model(), wanted.version());
+    directory.onVersionLoaded(server, wanted.model(), wanted.version());
     duties.append(
         new DutyRecord.Reached(
             duties.epoch(),
