--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -202,7 +202,7 @@
    * Begins a planned stop: announces it to the other nodes and takes no new runs. Requests in
    * flight continue, and so do jobs until another node takes them over.
    */
-  public Uni<Void> leave() {
+  public Uni<Void> drain() {
     if (stopping) {
       return Uni.createFrom().voidItem();
     }
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -82,7 +82,7 @@
 
   @Test
   void aDrainingOwnerContinuesUntilItsRunIsTakenOver() {
-    gateway.leave().subscribe().with(left -> {});
+    gateway.drain().subscribe().with(left -> {});
     assertThat(isTextSaved(), is(true));
     timers.advance(400);
     assertThat(servers.cancelled, equalTo(0));
@@ -154,7 +154,7 @@
 
   @Test
   void aDrainingOwnerClaimsNoRuns() {
-    gateway.leave().subscribe().with(left -> {});
+    gateway.drain().subscribe().with(left -> {});
     int before = log.stream("jobs.0").size();
     timers.advance(3_000);
     assertThat(log.stream("jobs.0"), hasSize(before));
@@ -192,7 +192,7 @@
 
   @Test
   void theEndOfADrainStopsRunsThatNoNodeTookOver() {
-    gateway.leave().subscribe().with(left -> {});
+    gateway.drain().subscribe().with(left -> {});
     timers.advance(400);
     List<Boolean> ended = new ArrayList<>();
     gateway.end().subscribe().with(done -> ended.add(true));
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayHost.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayHost.java
@@ -114,7 +114,7 @@
     }
     long generation = process.generation();
     Gateway leaving = gateway;
-    process.execute(generation, () -> leaving.leave().subscribe().with(ignored -> {}));
+    process.execute(generation, () -> leaving.drain().subscribe().with(ignored -> {}));
     note(graceMillis);
     time.after(
         (graceMillis - END_MILLIS) * VirtualTime.MICROS_PER_MILLI,
