--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -219,7 +219,7 @@
   }
 
   /** Returns whether all jobs have ended or were taken over, so that the process may stop. */
-  public boolean hasHandedOver() {
+  public boolean isDrained() {
     return runner.runningJobCount() == 0;
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -86,12 +86,12 @@
     assertThat(isTextSaved(), is(true));
     timers.advance(400);
     assertThat(servers.cancelled, equalTo(0));
-    assertThat(gateway.hasHandedOver(), is(false));
+    assertThat(gateway.isDrained(), is(false));
     JobRecord taken = new JobRecord.RunTaken(MODEL, 1_001, "other", 1, 1_000);
     log.stream("jobs.0").add(Codec.encode(taken));
     timers.advance(200);
     assertThat(servers.cancelled, equalTo(1));
-    assertThat(gateway.hasHandedOver(), is(true));
+    assertThat(gateway.isDrained(), is(true));
   }
 
   private Gateway startSuccessor() {
