--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -224,7 +224,7 @@
   }
 
   /** Ends a planned stop: stops all work and completes when the process may exit. */
-  public Uni<Void> end() {
+  public Uni<Void> close() {
     forwarder.admission().close();
     Uni<Void> usagePublished = meter.map(UsageMeter::publish).orElse(Uni.createFrom().voidItem());
     return Uni.join().all(runner.stop(), usagePublished).andCollectFailures().replaceWithVoid();
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -195,7 +195,7 @@
     gateway.drain().subscribe().with(left -> {});
     timers.advance(400);
     List<Boolean> ended = new ArrayList<>();
-    gateway.end().subscribe().with(done -> ended.add(true));
+    gateway.close().subscribe().with(done -> ended.add(true));
     timers.advance(10);
     assertThat(servers.cancelled, equalTo(1));
     assertThat(ended, hasSize(1));
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayHost.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayHost.java
@@ -118,7 +118,7 @@
     note(graceMillis);
     time.after(
         (graceMillis - END_MILLIS) * VirtualTime.MICROS_PER_MILLI,
-        () -> process.execute(generation, () -> leaving.end().subscribe().with(ignored -> {})));
+        () -> process.execute(generation, () -> leaving.close().subscribe().with(ignored -> {})));
     time.after(
         graceMillis * VirtualTime.MICROS_PER_MILLI,
         () -> {
