--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -52,7 +52,7 @@
 
   /** Creates a node; {@link #start} starts its work. */
   public Gateway(GatewayContext given) {
-    this.context = Objects.requireNonNull(given, "context").watched();
+    this.context = Objects.requireNonNull(given, "context").withClockJumpDetection();
     this.jobLog = new JobLog(context);
     this.directory =
         new PlatformDirectory(
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
@@ -39,7 +39,7 @@
   }
 
   /** Returns a copy whose timers detect clock jumps, as after a suspension of the process. */
-  GatewayContext watched() {
+  GatewayContext withClockJumpDetection() {
     return new GatewayContext(
         settings,
         incarnation,
