--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -86,7 +86,7 @@
 
   /** Returns whether and how a request may run now. */
   Verdict verdict(String fingerprint) {
-    return table.verdict(fingerprint, context.now());
+    return table.verdict(fingerprint, context.nowMillis());
   }
 
   /**
@@ -172,7 +172,7 @@
   }
 
   private void applyNote(CrashNote note) {
-    table.onNote(note, context.now());
+    table.onNote(note, context.nowMillis());
     if (table.isOverfull()) {
       removeExpired();
     }
@@ -198,7 +198,9 @@
   }
 
   private void removeExpired() {
-    table.due(context.now()).forEach(fingerprint -> forgetRequest(fingerprint, "old, or too many"));
+    table
+        .due(context.nowMillis())
+        .forEach(fingerprint -> forgetRequest(fingerprint, "old, or too many"));
   }
 
   private static TableService.Entry entryOf(CrashNote note) {
--- a/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
@@ -57,7 +57,7 @@
     this.log = Objects.requireNonNull(log, "log");
     this.waiters = Objects.requireNonNull(waiters, "waiters");
     this.change = Objects.requireNonNull(change, "change");
-    this.startedAtMillis = context.now();
+    this.startedAtMillis = context.nowMillis();
     this.maxCallBytes = context.settings().mostAppendBytes() - RECORD_OVERHEAD_BYTES;
   }
 
@@ -163,7 +163,7 @@
         .addKeyValue("wanted", change.expectedEffect())
         .addKeyValue("outcome", resolution)
         .addKeyValue("tries", attempts)
-        .addKeyValue("tookMillis", context.now() - startedAtMillis)
+        .addKeyValue("tookMillis", context.nowMillis() - startedAtMillis)
         .log("job: append decided");
     emitter.complete(outcome);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -114,11 +114,11 @@
    */
   void onCallUnanswered() {
     callsInFlight--;
-    lastUnansweredMillis = context.now();
+    lastUnansweredMillis = context.nowMillis();
   }
 
   private void releaseIfDone() {
-    long sinceUnanswered = context.now() - lastUnansweredMillis;
+    long sinceUnanswered = context.nowMillis() - lastUnansweredMillis;
     boolean allArrived = sinceUnanswered >= context.settings().lease().handOverMillis();
     if (stopping && callsInFlight == 0 && allArrived) {
       lease.release().ifPresent(this::append);
@@ -175,7 +175,7 @@
 
   /** Returns the current time, after ending the lease if the process was suspended. */
   private long now() {
-    long now = context.now();
+    long now = context.nowMillis();
     long jumps = context.timers().clockGaps().count();
     if (jumps != knownClockJumps) {
       knownClockJumps = jumps;
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -57,7 +57,7 @@
    */
   void send(ServerEntry server, boolean isHedge) {
     int attempt = attemptsSent++;
-    long sentAtMillis = context.now();
+    long sentAtMillis = context.nowMillis();
     health.onSent(server.start());
     inProgress.put(attempt, () -> {});
     Call attemptCall = withTimeLeft(sentAtMillis);
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -122,7 +122,7 @@
     if (jobLog.ownsAnyRun() || jobLog.isStandbyForOpenJobs() || members.hasJustStarted()) {
       return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
-    boolean isAsked = context.now() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
+    boolean isAsked = context.nowMillis() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
     return isAsked ? DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS : IDLE_HEARTBEAT_READ_PAUSE_MILLIS;
   }
 
@@ -175,7 +175,7 @@
    * node. Callers cache the answer, so a node returns none before it knows which nodes are alive.
    */
   public List<String> addressesFor(String zone) {
-    lastDiscoveryMillis = context.now();
+    lastDiscoveryMillis = context.nowMillis();
     if (members.isLivenessUnknown()) {
       return List.of();
     }
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
@@ -54,7 +54,7 @@
   }
 
   /** Returns the monotonic time in milliseconds. */
-  public long now() {
+  public long nowMillis() {
     return timers.nowMillis();
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -124,7 +124,8 @@
     if (ownStreams.contains(STREAM_PREFIX + partition)) {
       return OWNER_POLL_INTERVAL_MILLIS;
     }
-    boolean hasRecentCaller = context.now() - lastCallAtMillis[partition] < RECENT_CALL_MILLIS;
+    boolean hasRecentCaller =
+        context.nowMillis() - lastCallAtMillis[partition] < RECENT_CALL_MILLIS;
     return hasRecentCaller || isStandby(partition)
         ? FOLLOWER_POLL_INTERVAL_MILLIS
         : IDLE_POLL_INTERVAL_MILLIS;
@@ -138,7 +139,7 @@
   /** Returns whether a caller recently used this node for a job. */
   boolean hasRecentCallers() {
     return Arrays.stream(lastCallAtMillis)
-        .anyMatch(callAtMillis -> context.now() - callAtMillis < RECENT_CALL_MILLIS);
+        .anyMatch(callAtMillis -> context.nowMillis() - callAtMillis < RECENT_CALL_MILLIS);
   }
 
   /** Returns whether this node is on standby for a run with open jobs. */
@@ -153,8 +154,8 @@
   }
 
   private boolean isStandby(int partition) {
-    if (context.now() - lastRankedAtMillis >= RANKING_PERIOD_MILLIS) {
-      lastRankedAtMillis = context.now();
+    if (context.nowMillis() - lastRankedAtMillis >= RANKING_PERIOD_MILLIS) {
+      lastRankedAtMillis = context.nowMillis();
       standbyPartitions.clear();
       for (int index = 0; index < tails.size(); index++) {
         String node = context.settings().node();
@@ -168,7 +169,7 @@
   /** Polls a run's partition more often for a while, after a call for one of its jobs. */
   void onCallerRequest(String run) {
     int partition = partitionOf(run);
-    lastCallAtMillis[partition] = context.now();
+    lastCallAtMillis[partition] = context.nowMillis();
     tails.get(partition).hurry();
   }
 
@@ -200,7 +201,8 @@
   /** Appends this node's claims again before the log's retention drops them. */
   private void renewClaims() {
     long renewMillis = context.settings().lease().renewMillis();
-    for (JobRecord.RunTaken claim : owners.renewals(renewMillis, this::positionOf, context.now())) {
+    for (JobRecord.RunTaken claim :
+        owners.renewals(renewMillis, this::positionOf, context.nowMillis())) {
       append(streamOf(claim.run()), List.of(Codec.encode(claim)))
           .subscribe()
           .with(
@@ -219,7 +221,7 @@
 
   /** Returns the claim to append if this node is the next owner of a run. */
   Optional<JobRecord.RunTaken> claim(String run) {
-    return owners.claim(run, heartbeats, positionOf(streamOf(run)), context.now());
+    return owners.claim(run, heartbeats, positionOf(streamOf(run)), context.nowMillis());
   }
 
   /** Adds a listener that receives each record that changed a job. */
@@ -341,7 +343,7 @@
   private void onRunClaimed(JobRecord.RunTaken taken, long offset) {
     // A claim read during the initial catch-up does not prove that the owner is alive now.
     boolean isLive = tails.get(partitionOf(taken.run())).isCaughtUp();
-    if (owners.apply(taken, offset, isLive ? context.now() : NEVER_MILLIS)) {
+    if (owners.apply(taken, offset, isLive ? context.nowMillis() : NEVER_MILLIS)) {
       LOG.atLevel(eventLogLevel())
           .addKeyValue("run", taken.run())
           .addKeyValue("epoch", taken.epoch())
@@ -363,7 +365,7 @@
   }
 
   private void onJobRecord(JobRecord.OfJob record) {
-    JobTable.Effect effect = table.apply(record, context.now());
+    JobTable.Effect effect = table.apply(record, context.nowMillis());
     if (effect == JobTable.Effect.IGNORED) {
       return;
     }
@@ -390,6 +392,6 @@
   }
 
   private void removeExpiredJobs() {
-    table.forget(context.now() - context.settings().keepJobs().toMillis());
+    table.forget(context.nowMillis() - context.settings().keepJobs().toMillis());
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -155,7 +155,7 @@
         .addKeyValue("step", history.step())
         .addKeyValue("begunAfterMillis", history.firstBegunAtMillis() - accepted)
         .addKeyValue("wholeAfterMillis", history.wholeAtMillis() - accepted)
-        .addKeyValue("listedAfterMillis", context.now() - accepted)
+        .addKeyValue("listedAfterMillis", context.nowMillis() - accepted)
         .addKeyValue("events", history.events())
         .addKeyValue("attempts", history.attempts())
         .addKeyValue("moves", history.moves())
@@ -200,7 +200,7 @@
     if (scheduler.hasJobs()) {
       apply(
           scheduler.decide(
-              directory.servers().all(), directory.announcedVersions(), context.now()));
+              directory.servers().all(), directory.announcedVersions(), context.nowMillis()));
     }
   }
 
@@ -304,7 +304,7 @@
         .addKeyValue("attempt", attempt)
         .addKeyValue("server", server)
         .addKeyValue("after", start.lastEvent())
-        .addKeyValue("estimate", scheduler.serverView().estimate(server, context.now()))
+        .addKeyValue("estimate", scheduler.serverView().estimate(server, context.nowMillis()))
         .log("job: generation begins");
     Cancellable generation =
         context
@@ -335,7 +335,7 @@
   }
 
   private void onProgress(long attempt, Progress progress) {
-    long now = context.now();
+    long now = context.nowMillis();
     if (progress instanceof Progress.Began began) {
       apply(scheduler.onBegan(attempt, began.version(), now));
     } else if (progress instanceof Progress.Event event) {
@@ -346,7 +346,7 @@
   private void onCompleted(JobAction.Start start) {
     generations.remove(start.attempt());
     crashGate.onCompleted(start);
-    apply(scheduler.onWhole(start.attempt(), context.now()));
+    apply(scheduler.onWhole(start.attempt(), context.nowMillis()));
     scheduleDecision();
   }
 
@@ -362,7 +362,7 @@
         .addKeyValue("reason", failure.getMessage())
         .log("job: generation failed");
     crashGate.onFailed(start, failure.kind());
-    apply(scheduler.onFailed(start.attempt(), failureOf(failure.kind()), context.now()));
+    apply(scheduler.onFailed(start.attempt(), failureOf(failure.kind()), context.nowMillis()));
     scheduleDecision();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -136,7 +136,7 @@
    * returned newer results already.
    */
   public Uni<JobOutcome> read(String tenant, String id, int from, long waitMillis) {
-    long deadlineMillis = context.now() + waitMillis + ANSWER_MARGIN_MILLIS;
+    long deadlineMillis = context.nowMillis() + waitMillis + ANSWER_MARGIN_MILLIS;
     return refreshIfUnknown(id)
         .chain(
             isTableCurrent -> {
@@ -159,7 +159,7 @@
     if (!isJobCurrent && job.results().size() <= from) {
       return Uni.createFrom().item(unavailable(job.id()));
     }
-    long waitMillis = deadlineMillis - ANSWER_MARGIN_MILLIS - context.now();
+    long waitMillis = deadlineMillis - ANSWER_MARGIN_MILLIS - context.nowMillis();
     boolean mayArrive = job.isOpen() && waitMillis > 0;
     if (job.results().size() > from || !mayArrive) {
       return resultsOf(job, from, deadlineMillis);
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -92,7 +92,7 @@
   public void start(Runnable onFollowing, Runnable onFleetLost) {
     followingCallback = Objects.requireNonNull(onFollowing, "onFollowing");
     fleetLostCallback = Objects.requireNonNull(onFleetLost, "onFleetLost");
-    startedAtMillis = context.now();
+    startedAtMillis = context.nowMillis();
     sendIfDue();
   }
 
@@ -135,7 +135,7 @@
    * is known again only when a heartbeat sent after the jump was read back.
    */
   private long now() {
-    long now = context.now();
+    long now = context.nowMillis();
     long jumps = context.timers().clockGaps().count();
     if (jumps != knownClockJumps) {
       knownClockJumps = jumps;
@@ -153,7 +153,9 @@
     if (isFleetLost) {
       return isLogReachable();
     }
-    return isFollowing && isLogReachable() && context.now() - firstWrittenAtMillis >= SETTLE_MILLIS;
+    return isFollowing
+        && isLogReachable()
+        && context.nowMillis() - firstWrittenAtMillis >= SETTLE_MILLIS;
   }
 
   /**
@@ -165,7 +167,7 @@
     return isFollowing
         && !isFleetLost
         && ownHeartbeatsRead < 2
-        && context.now() - firstWrittenAtMillis < SETTLE_MILLIS
+        && context.nowMillis() - firstWrittenAtMillis < SETTLE_MILLIS
         && heartbeats.isLossDetectable();
   }
 
@@ -221,19 +223,19 @@
   /** Returns this node's time in the log, measured from the write of its first heartbeat. */
   private long inLogMillis() {
     return MemberBeat.FIRST_IN_LOG_MILLIS
-        + (isFollowing ? context.now() - firstWrittenAtMillis : 0);
+        + (isFollowing ? context.nowMillis() - firstWrittenAtMillis : 0);
   }
 
   private void onAppended(long offset) {
     isHeartbeatInFlight = false;
     recordWritten(offset);
-    if (isFollowing && context.now() - firstWrittenAtMillis < SETTLE_MILLIS) {
+    if (isFollowing && context.nowMillis() - firstWrittenAtMillis < SETTLE_MILLIS) {
       // A starting node needs its own heartbeat back to know whether the others are alive.
       tail.hurry();
     }
     if (!isFollowing) {
       isFollowing = true;
-      firstWrittenAtMillis = context.now();
+      firstWrittenAtMillis = context.nowMillis();
       // Starts the period now: by the next heartbeat each live node has sent one as well.
       context.timers().every(context.settings().beat().toMillis(), this::sendIfDue);
       // Reads recent heartbeats first, to find the other nodes at once.
@@ -246,7 +248,7 @@
     if (firstOffsetAfterJump == Long.MAX_VALUE && isSentSinceJump) {
       firstOffsetAfterJump = offset;
       if (tail.position() > offset) {
-        lastOwnReadMillis = context.now();
+        lastOwnReadMillis = context.nowMillis();
       }
     }
   }
@@ -269,7 +271,7 @@
       boolean isOwn =
           heartbeat.node().equals(context.settings().node())
               && heartbeat.incarnation() == context.incarnation();
-      heartbeats.onBeat(heartbeat, context.now());
+      heartbeats.onBeat(heartbeat, context.nowMillis());
       if (isOwn) {
         onOwnHeartbeatRead();
       } else if (tail.isCaughtUp()) {
@@ -308,7 +310,7 @@
 
   /** Returns whether this node has just started. */
   boolean hasJustStarted() {
-    return context.now() - startedAtMillis < STARTUP_MILLIS;
+    return context.nowMillis() - startedAtMillis < STARTUP_MILLIS;
   }
 
   private void logChange() {
--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -104,7 +104,7 @@
     OwnedRun owned = runs.get(run);
     if (owned == null || owned.epoch != epoch) {
       owned = new OwnedRun(run, streamOf(run), epoch);
-      owned.trimmedAtMillis = context.now();
+      owned.trimmedAtMillis = context.nowMillis();
       runs.put(run, owned);
       read(owned);
     }
@@ -112,7 +112,7 @@
   }
 
   private void read(OwnedRun owned) {
-    long startedAtMillis = context.now();
+    long startedAtMillis = context.nowMillis();
     context
         .timers()
         .limitSilence(
@@ -155,7 +155,7 @@
         .addKeyValue("epoch", owned.epoch)
         .addKeyValue("items", owned.inheritedTexts.size())
         .addKeyValue("outcome", outcome)
-        .addKeyValue("tookMillis", context.now() - startedAtMillis)
+        .addKeyValue("tookMillis", context.nowMillis() - startedAtMillis)
         .log("texts: left by the former runner");
     onRead.run();
   }
@@ -254,10 +254,10 @@
 
   /** Trims the stream up to the first record that an open item needs. */
   private void trim(OwnedRun owned, long lastOffset) {
-    if (context.now() - owned.trimmedAtMillis < TRIM_PERIOD_MILLIS) {
+    if (context.nowMillis() - owned.trimmedAtMillis < TRIM_PERIOD_MILLIS) {
       return;
     }
-    owned.trimmedAtMillis = context.now();
+    owned.trimmedAtMillis = context.nowMillis();
     owned.firstOffsetByItem.keySet().removeIf(item -> !scheduler.isOpen(item.job(), item.id()));
     long neededOffset =
         owned.firstOffsetByItem.values().stream()
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -199,7 +199,7 @@
     private void onVersionAnnounced(String model, long version) {
       NamedVersion before = announcedVersions.get(model);
       if (before == null || version > before.version()) {
-        announcedVersions.put(model, new NamedVersion(version, context.now()));
+        announcedVersions.put(model, new NamedVersion(version, context.nowMillis()));
         LOG.atInfo()
             .addKeyValue("model", model)
             .addKeyValue("version", version)
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -76,12 +76,12 @@
   /** Begins a planned stop: queued requests are sent or rejected soon. */
   void drain() {
     stopping = true;
-    services.values().forEach(service -> service.admission.stop(context.now()));
+    services.values().forEach(service -> service.admission.stop(context.nowMillis()));
   }
 
   /** Rejects all queued requests, at the end of a planned stop. */
   void close() {
-    knownServices().forEach(service -> service.apply(service.admission.end(context.now())));
+    knownServices().forEach(service -> service.apply(service.admission.end(context.nowMillis())));
   }
 
   /** The slot of one request at a service; must be released when the request is over. */
@@ -102,7 +102,7 @@
     void acquire(SlotListener slotListener) {
       listener = slotListener;
       service.slots.put(request.id(), this);
-      AdmissionVerdict verdict = service.admission.offer(request, context.now());
+      AdmissionVerdict verdict = service.admission.offer(request, context.nowMillis());
       if (verdict instanceof AdmissionVerdict.Wait) {
         onQueued();
       } else {
@@ -111,7 +111,7 @@
     }
 
     private void onQueued() {
-      long now = context.now();
+      long now = context.nowMillis();
       context.metrics().requestsWaited.increment();
       double waitMillis = service.admission.expectedWaitMillis(request, now);
       log.onQueued(id, request, service.admission.load(now), waitMillis);
@@ -122,7 +122,7 @@
     private void apply(AdmissionVerdict verdict) {
       if (verdict instanceof Reject reject) {
         rejected = reject;
-        long now = context.now();
+        long now = context.nowMillis();
         context.metrics().onRejected(reject.reason());
         log.onRejected(id, request, service.admission.load(now), reject, now);
         listener.onRejected(reject);
@@ -133,19 +133,19 @@
 
     /** Records a successful answer and its latency. */
     void onAnswer(long tookMillis) {
-      service.admission.onAnswer(request, tookMillis, context.now());
+      service.admission.onAnswer(request, tookMillis, context.nowMillis());
     }
 
     /** Records that a server refused the request because it is full. */
     void onFull() {
-      service.admission.onFull(context.now());
+      service.admission.onFull(context.nowMillis());
     }
 
     /** Returns the time after which the caller may retry a request that was not run. */
     long retryAfterMillis() {
       return rejected != null
           ? rejected.retryAfterMillis()
-          : service.admission.retryAfterMillis(request, context.now());
+          : service.admission.retryAfterMillis(request, context.nowMillis());
     }
 
     /** Releases the slot when the request is over or its caller has disconnected. */
@@ -161,7 +161,7 @@
   private final class Service {
     private final String name;
     private final ServiceAdmission admission =
-        new ServiceAdmission(context.randomBelow(), context.now());
+        new ServiceAdmission(context.randomBelow(), context.nowMillis());
     private final Map<Long, Slot> slots = new HashMap<>();
     private boolean isSweeping;
     private boolean isDispatching;
@@ -169,9 +169,9 @@
 
     Service(String name) {
       this.name = name;
-      context.metrics().showAdmission(name, this, each -> each.admission.load(context.now()));
+      context.metrics().showAdmission(name, this, each -> each.admission.load(context.nowMillis()));
       if (stopping) {
-        admission.stop(context.now());
+        admission.stop(context.nowMillis());
       }
       updateServers();
     }
@@ -179,7 +179,7 @@
     void updateServers() {
       List<ServerEntry> servers = candidates.apply(name);
       int slots = servers.stream().mapToInt(ServerEntry::slots).sum();
-      admission.onServers(servers.size(), slots, context.now());
+      admission.onServers(servers.size(), slots, context.nowMillis());
       dispatch();
     }
 
@@ -196,7 +196,7 @@
       try {
         while (isDispatchDue) {
           isDispatchDue = false;
-          apply(admission.next(context.now()));
+          apply(admission.next(context.nowMillis()));
         }
       } finally {
         isDispatching = false;
@@ -213,7 +213,7 @@
     }
 
     void sweepLater() {
-      if (!isSweeping && admission.load(context.now()).waiting() > 0) {
+      if (!isSweeping && admission.load(context.nowMillis()).waiting() > 0) {
         isSweeping = true;
         context
             .timers()
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -75,7 +75,7 @@
     this.rotation = new ShareRotation(context.randomBelow());
     this.candidates = new ServerCandidates(context, directory, health, liveNodes);
     this.admission = new RequestAdmission(context, directory, directory.servers()::readyOf);
-    this.requestRate = new RateMeter(context.now());
+    this.requestRate = new RateMeter(context.nowMillis());
     directory.addListener(
         () ->
             health.retain(
@@ -86,7 +86,7 @@
 
   /** Returns the recent rate of requests per second. */
   public double requestsPerSecond() {
-    return requestRate.perSecond(context.now());
+    return requestRate.perSecond(context.nowMillis());
   }
 
   /** Returns the number of requests in flight. */
@@ -125,7 +125,7 @@
     private final CrashGuard crashGuard;
     private final String service;
     private final RequestAdmission.Slot slot;
-    private final long startedAtMillis = context.now();
+    private final long startedAtMillis = context.nowMillis();
     private final long lostAtStartMillis = lostToClockJumpsMillis();
     private final ForwardAttempts attempts;
     private final RequestLogger log;
@@ -146,7 +146,7 @@
 
     void start() {
       inProgress++;
-      requestRate.mark(context.now());
+      requestRate.mark(context.nowMillis());
       deadlineTimer = context.timers().after(call.deadlineMillis(), this::onDeadline);
       slot.acquire(this);
     }
@@ -155,7 +155,7 @@
     public void onAdmitted() {
       if (!tryNext()) {
         failWithoutServer(
-            plan.hasTimeLeft(context.now()) ? "no server" : "too little time is left");
+            plan.hasTimeLeft(context.nowMillis()) ? "no server" : "too little time is left");
       }
     }
 
@@ -174,7 +174,7 @@
         return crashGuard.isClaiming() || plan.inProgress() > 0;
       }
       List<ServerEntry> servers = candidates.of(service, plan);
-      Optional<ServerEntry> server = plan.next(servers, candidates.picker(), context.now());
+      Optional<ServerEntry> server = plan.next(servers, candidates.picker(), context.nowMillis());
       if (server.isEmpty()) {
         return plan.inProgress() > 0;
       }
@@ -202,7 +202,7 @@
 
     @Override
     public void onAnswer(ServerEntry server, Answer answer, long sentAtMillis) {
-      long now = context.now();
+      long now = context.nowMillis();
       Outcome outcome = classify(answer);
       if (outcome != Outcome.NOT_RUN) {
         reportRunOnce(sentAtMillis);
@@ -222,7 +222,7 @@
 
     private void onNotRun(ServerEntry server, boolean isFull) {
       long avoidedMillis = isFull ? FULL_AVOIDED_MILLIS : MISDIRECTED_AVOIDED_MILLIS;
-      health.avoid(server.start(), avoidedMillis, context.now());
+      health.avoid(server.start(), avoidedMillis, context.nowMillis());
       if (isFull) {
         slot.onFull();
       }
@@ -236,9 +236,9 @@
       }
       boolean heldBack = failure.kind() == PlatformException.Kind.HELD_BACK;
       if (heldBack) {
-        health.avoid(server.start(), FULL_AVOIDED_MILLIS, context.now());
+        health.avoid(server.start(), FULL_AVOIDED_MILLIS, context.nowMillis());
       } else {
-        health.onFailure(server.start(), context.now());
+        health.onFailure(server.start(), context.nowMillis());
       }
       boolean notRun = heldBack || failure.kind() == PlatformException.Kind.NOT_RUN;
       Outcome outcome = notRun ? Outcome.NOT_RUN : Outcome.UNKNOWN;
@@ -260,7 +260,7 @@
       reportRunOnce(sentAtMillis);
       crashGuard.onAnswered(Outcome.UNKNOWN);
       if (!done) {
-        plan.onEnded(Outcome.UNKNOWN, context.now());
+        plan.onEnded(Outcome.UNKNOWN, context.nowMillis());
         fail("no room for the answer");
       }
     }
@@ -278,7 +278,7 @@
         return;
       }
       updateTimeLost();
-      switch (plan.onEnded(outcome, context.now())) {
+      switch (plan.onEnded(outcome, context.nowMillis())) {
         case DELIVER -> finish(new ForwardOutcome.Answered(answer, plan.serverErrors()));
         case TRY_NEXT -> context.timers().after(backoffMillis(outcome), this::tryNextOrFail);
         case GIVE_UP -> fail("attempts used up");
@@ -311,12 +311,12 @@
 
     private long retryAfterMillis() {
       long untilTrialMillis =
-          crashGuard.isHeldBack() ? crashGuard.heldUntilMillis() - context.now() : 0;
+          crashGuard.isHeldBack() ? crashGuard.heldUntilMillis() - context.nowMillis() : 0;
       return Math.max(slot.retryAfterMillis(), untilTrialMillis);
     }
 
     private void fail(String reason) {
-      boolean timedOut = context.now() >= plan.deadlineMillis();
+      boolean timedOut = context.nowMillis() >= plan.deadlineMillis();
       ForwardOutcome outcome =
           plan.hasSurelyNotRun()
               ? new ForwardOutcome.NotRun(reason, retryAfterMillis())
@@ -326,7 +326,7 @@
     }
 
     private void finish(ForwardOutcome outcome) {
-      context.metrics().onRequest(outcome, context.now() - startedAtMillis);
+      context.metrics().onRequest(outcome, context.nowMillis() - startedAtMillis);
       emitter.complete(outcome);
       cancel();
     }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
@@ -55,7 +55,7 @@
         .addKeyValue("server", server.start())
         .addKeyValue("outcome", outcome)
         .addKeyValue("reason", reason)
-        .addKeyValue("afterMillis", context.now() - startedAtMillis)
+        .addKeyValue("afterMillis", context.nowMillis() - startedAtMillis)
         .log("request: attempt failed");
   }
 
@@ -77,7 +77,7 @@
         .addKeyValue("outcome", outcome.getClass().getSimpleName())
         .addKeyValue("reason", reason)
         .addKeyValue("lastAttempt", lastFailureReason)
-        .addKeyValue("tookMillis", context.now() - startedAtMillis)
+        .addKeyValue("tookMillis", context.nowMillis() - startedAtMillis)
         .log("request: given up");
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
@@ -73,7 +73,7 @@
       return Uni.createFrom().item(available);
     }
     // The read itself continues after the timeout and fills the cache for later callers.
-    long remainingMillis = Math.max(1, deadlineMillis - context.now());
+    long remainingMillis = Math.max(1, deadlineMillis - context.nowMillis());
     return context
         .timers()
         .limit(
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextPrefetcher.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextPrefetcher.java
@@ -80,7 +80,7 @@
         .read(
             log.textStreamOf(job.submission().run()),
             List.copyOf(results.subList(state.nextPosition, results.size())),
-            context.now() + READ_TIMEOUT_MILLIS)
+            context.nowMillis() + READ_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             texts -> {
--- a/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
@@ -74,7 +74,7 @@
     String item = action.item().id();
     Optional<Route> route = directory.routes().find(score.host(), score.path());
     if (route.isEmpty()) {
-      actionHandler.accept(scheduler.onScoreFailed(job, item, 0, 1, 0, context.now()));
+      actionHandler.accept(scheduler.onScoreFailed(job, item, 0, 1, 0, context.nowMillis()));
       return;
     }
     callsInFlight++;
@@ -118,7 +118,7 @@
             outcome.serverErrors(),
             maxErrors,
             retryDelayMillis(outcome),
-            context.now()));
+            context.nowMillis()));
   }
 
   private static long retryDelayMillis(ForwardOutcome outcome) {
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -65,7 +65,7 @@
   List<ServerEntry> of(String name, ForwardPlan plan) {
     Service service = services.computeIfAbsent(name, key -> new Service());
     refresh(name, service);
-    long now = context.now();
+    long now = context.nowMillis();
     int peak = service.peakUse.mark(inProgress(service) + 1, now);
     service.activeSubset = service.subset.forUse(peak, service.rotation++);
     List<ServerEntry> servers =
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -66,7 +66,7 @@
     if (!directory.servers().isReady(server.start())) {
       return Uni.createFrom().voidItem();
     }
-    long interruptedAtMillis = context.now();
+    long interruptedAtMillis = context.nowMillis();
     return probesInFlight
         .computeIfAbsent(server.start(), start -> probe(server))
         .invoke(
@@ -110,7 +110,7 @@
     if (unresolved.isEmpty()) {
       return;
     }
-    long now = context.now();
+    long now = context.nowMillis();
     for (Interruption interruption : List.copyOf(unresolved)) {
       ServerEntry entry = directory.servers().get(interruption.server().start());
       boolean isExpired = now - interruption.interruptedAtMillis() >= ENTRY_REMOVAL_TIMEOUT_MILLIS;
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -47,20 +47,21 @@
     boolean isShared =
         log.table().open().stream().anyMatch(job -> !log.owners().isOwn(job.submission().run()));
     return isShared && log.ownsAnyRun()
-        ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.now())
+        ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.nowMillis())
         : List.of();
   }
 
   private void onOthersHeartbeat(MemberBeat heartbeat) {
-    view.onReport(heartbeat.node(), heartbeat.incarnation(), heartbeat.serverUse(), context.now());
+    view.onReport(
+        heartbeat.node(), heartbeat.incarnation(), heartbeat.serverUse(), context.nowMillis());
   }
 
   private void logSlow() {
     Set<ServerStart> slow = view.slowServers();
-    if (lastLoggedSlowServers.containsAll(slow) || context.now() < nextLogLineMillis) {
+    if (lastLoggedSlowServers.containsAll(slow) || context.nowMillis() < nextLogLineMillis) {
       return;
     }
-    nextLogLineMillis = context.now() + LOG_INTERVAL_MILLIS;
+    nextLogLineMillis = context.nowMillis() + LOG_INTERVAL_MILLIS;
     lastLoggedSlowServers = slow;
     LOG.atInfo()
         .addKeyValue("slow", slow.size())
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -51,13 +51,13 @@
   }
 
   private void publishIfDue() {
-    if (context.now() - lastPublishedMillis >= settings.tellMillis(liveNodes.getAsInt())) {
+    if (context.nowMillis() - lastPublishedMillis >= settings.tellMillis(liveNodes.getAsInt())) {
       publish().subscribe().with(ignored -> {});
     }
   }
 
   private void sampleClocks() {
-    trueTime.onSample(context.now(), context.timers().timeOfDayMillis());
+    trueTime.onSample(context.nowMillis(), context.timers().timeOfDayMillis());
   }
 
   /** Returns the newest window whose counts are due to be made final. */
@@ -79,7 +79,7 @@
       return Uni.createFrom().voidItem();
     }
     isPublishing = true;
-    lastPublishedMillis = context.now();
+    lastPublishedMillis = context.nowMillis();
     return context
         .log()
         .append(STREAM, records.stream().map(Codec::encode).toList())
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -130,7 +130,7 @@
   }
 
   private void fix(long window) {
-    lastFixedMillis = context.now();
+    lastFixedMillis = context.nowMillis();
     duties.append(
         new DutyRecord.UsageFixed(
             duties.epoch(),
@@ -165,8 +165,8 @@
         .addKeyValue("window", usage.window())
         .addKeyValue("tenants", usage.counts().size())
         .addKeyValue("requests", usage.counts().values().stream().mapToLong(Long::longValue).sum())
-        .addKeyValue("windowsBehind", meter.newestDueWindow(context.now()) - usage.window())
-        .addKeyValue("tookMillis", context.now() - sentAtMillis)
+        .addKeyValue("windowsBehind", meter.newestDueWindow(context.nowMillis()) - usage.window())
+        .addKeyValue("tookMillis", context.nowMillis() - sentAtMillis)
         .addKeyValue("fence", usage.fence())
         .log("usage: window reported");
     DutyRecord.UsageReported record =
@@ -180,7 +180,7 @@
 
   private void onFailed(Usage usage, PlatformException failure) {
     isSending = false;
-    retryNotBeforeMillis = context.now() + RETRY_DELAY_MILLIS;
+    retryNotBeforeMillis = context.nowMillis() + RETRY_DELAY_MILLIS;
     context.metrics().windowReportsFailed.increment();
     LOG.atInfo()
         .addKeyValue("window", usage.window())
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -144,7 +144,7 @@
     if (outcome == OrderOutcome.IN_EFFECT) {
       onVersionReached(wanted);
     } else if (outcome == OrderOutcome.STARTED) {
-      long until = context.now() + LOAD_TIMEOUT_MILLIS;
+      long until = context.nowMillis() + LOAD_TIMEOUT_MILLIS;
       context.timers().after(FIRST_POLL_DELAY_MILLIS, () -> pollLoad(wanted, until));
     } else {
       retryLater(wanted, "the server answered " + outcome);
@@ -158,7 +158,7 @@
       onVersionReached(wanted);
       return;
     }
-    if (entry == null || context.now() >= untilMillis) {
+    if (entry == null || context.nowMillis() >= untilMillis) {
       retryLater(wanted, "the load did not end in time");
       return;
     }
@@ -200,12 +200,13 @@
 
   private void onUnreachable(Wanted wanted, Throwable failure) {
     logNotDone(wanted, failure.getMessage());
-    planner.onUnreachable(wanted.server().start(), context.now() + UNREACHABLE_RETRY_DELAY_MILLIS);
+    planner.onUnreachable(
+        wanted.server().start(), context.nowMillis() + UNREACHABLE_RETRY_DELAY_MILLIS);
   }
 
   private void retryLater(Wanted wanted, String reason) {
     logNotDone(wanted, reason);
-    planner.onFailed(wanted.server().start(), context.now() + RETRY_DELAY_MILLIS);
+    planner.onFailed(wanted.server().start(), context.nowMillis() + RETRY_DELAY_MILLIS);
   }
 
   private static void logNotDone(Wanted wanted, String reason) {
