--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -14,7 +14,7 @@
  * @param zone zone of the machine
  * @param address host and port at which callers reach it
  * @param jobPartitions number of log partitions over which runs are distributed
- * @param beat interval between heartbeats while other parties depend on this node
+ * @param heartbeatInterval interval between heartbeats while other parties depend on this node
  * @param silence time without a heartbeat after which a node is considered dead
  * @param tick interval between rounds of scheduling decisions
  * @param lease timing of the duty lease
@@ -31,7 +31,7 @@
     String zone,
     String address,
     int jobPartitions,
-    Duration beat,
+    Duration heartbeatInterval,
     Duration silence,
     Duration tick,
     DutyLease.Settings lease,
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -191,7 +191,7 @@
 
   private long currentPeriodMillis() {
     return hasJustStarted() || isDependedOn.getAsBoolean()
-        ? context.settings().beat().toMillis()
+        ? context.settings().heartbeatInterval().toMillis()
         : BeatPace.idleMillis(heartbeats.taking().size());
   }
 
@@ -237,7 +237,7 @@
       isFollowing = true;
       firstWrittenAtMillis = context.nowMillis();
       // Starts the period now: by the next heartbeat each live node has sent one as well.
-      context.timers().every(context.settings().beat().toMillis(), this::sendIfDue);
+      context.timers().every(context.settings().heartbeatInterval().toMillis(), this::sendIfDue);
       // Reads recent heartbeats first, to find the other nodes at once.
       tail.start(Math.max(0, offset - HISTORY_RECORDS));
     }
