--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -15,7 +15,7 @@
  * @param address host and port at which callers reach it
  * @param jobPartitions number of log partitions over which runs are distributed
  * @param heartbeatInterval interval between heartbeats while other parties depend on this node
- * @param silence time without a heartbeat after which a node is considered dead
+ * @param heartbeatTimeout time without a heartbeat after which a node is considered dead
  * @param tick interval between rounds of scheduling decisions
  * @param lease timing of the duty lease
  * @param loads limit on the servers of a service that load weights at the same time
@@ -32,7 +32,7 @@
     String address,
     int jobPartitions,
     Duration heartbeatInterval,
-    Duration silence,
+    Duration heartbeatTimeout,
     Duration tick,
     DutyLease.Settings lease,
     LoadLimit loads,
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -76,7 +76,7 @@
     this.context = Objects.requireNonNull(context, "context");
     this.requestsPerSecond = Objects.requireNonNull(requestsPerSecond, "requestsPerSecond");
     this.isDependedOn = Objects.requireNonNull(isDependedOn, "isDependedOn");
-    this.heartbeats = new BeatTable(context.settings().silence().toMillis());
+    this.heartbeats = new BeatTable(context.settings().heartbeatTimeout().toMillis());
     this.tail =
         new LogTail(
             context.log(), context.timers(), STREAM, betweenReadsMillis, new HeartbeatReader());
