--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -68,7 +68,7 @@
   /** Starts following the lease and, while this node holds it, running the duties. */
   void start() {
     tail.start(0);
-    context.timers().every(context.settings().tick().toMillis(), this::decide);
+    context.timers().every(context.settings().decisionInterval().toMillis(), this::decide);
     jobs.addOwnerListener(tail::hurry);
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -16,7 +16,7 @@
  * @param jobPartitions number of log partitions over which runs are distributed
  * @param heartbeatInterval interval between heartbeats while other parties depend on this node
  * @param heartbeatTimeout time without a heartbeat after which a node is considered dead
- * @param tick interval between rounds of scheduling decisions
+ * @param decisionInterval interval between rounds of scheduling decisions
  * @param lease timing of the duty lease
  * @param loads limit on the servers of a service that load weights at the same time
  * @param inForce time within which changes of the configuration and of servers must take effect
@@ -33,7 +33,7 @@
     int jobPartitions,
     Duration heartbeatInterval,
     Duration heartbeatTimeout,
-    Duration tick,
+    Duration decisionInterval,
     DutyLease.Settings lease,
     LoadLimit loads,
     Duration inForce,
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -77,7 +77,7 @@
 
   /** Starts to run jobs. */
   public void start() {
-    context.timers().every(context.settings().tick().toMillis(), this::decide);
+    context.timers().every(context.settings().decisionInterval().toMillis(), this::decide);
     context.timers().every(SAVE_PERIOD_MILLIS, this::saveTexts);
     directory.addListener(this::scheduleDecision);
   }
