--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -18,7 +18,7 @@
  * @param heartbeatTimeout time without a heartbeat after which a node is considered dead
  * @param decisionInterval interval between rounds of scheduling decisions
  * @param lease timing of the duty lease
- * @param loads limit on the servers of a service that load weights at the same time
+ * @param loadLimit limit on the servers of a service that load weights at the same time
  * @param inForce time within which changes of the configuration and of servers must take effect
  * @param keepJobs retention time of ended jobs
  * @param mostRecordBytes maximum size of a log record
@@ -35,7 +35,7 @@
     Duration heartbeatTimeout,
     Duration decisionInterval,
     DutyLease.Settings lease,
-    LoadLimit loads,
+    LoadLimit loadLimit,
     Duration inForce,
     Duration keepJobs,
     int mostRecordBytes,
@@ -47,7 +47,7 @@
     Objects.requireNonNull(zone, "zone");
     Objects.requireNonNull(address, "address");
     Objects.requireNonNull(lease, "lease");
-    Objects.requireNonNull(loads, "loads");
+    Objects.requireNonNull(loadLimit, "loads");
     Objects.requireNonNull(usage, "usage");
     if (inForce.toMillis() < 1) {
       throw new IllegalArgumentException("inForce must be at least 1 ms, but is " + inForce);
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -41,7 +41,7 @@
     this.directory = Objects.requireNonNull(directory, "directory");
     this.jobs = Objects.requireNonNull(jobs, "jobs");
     this.duties = Objects.requireNonNull(duties, "duties");
-    this.planner = new VersionOrderPlanner(context.settings().loads());
+    this.planner = new VersionOrderPlanner(context.settings().loadLimit());
     directory.addListener(duties::decide);
     duties.add(this);
   }
