--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -19,7 +19,8 @@
  * @param decisionInterval interval between rounds of scheduling decisions
  * @param lease timing of the duty lease
  * @param loadLimit limit on the servers of a service that load weights at the same time
- * @param inForce time within which changes of the configuration and of servers must take effect
+ * @param propagationLimit time within which changes of the configuration and of servers must take
+ *     effect
  * @param keepJobs retention time of ended jobs
  * @param mostRecordBytes maximum size of a log record
  * @param mostAppendBytes maximum size of an append to the log
@@ -36,7 +37,7 @@
     Duration decisionInterval,
     DutyLease.Settings lease,
     LoadLimit loadLimit,
-    Duration inForce,
+    Duration propagationLimit,
     Duration keepJobs,
     int mostRecordBytes,
     int mostAppendBytes,
@@ -49,8 +50,9 @@
     Objects.requireNonNull(lease, "lease");
     Objects.requireNonNull(loadLimit, "loads");
     Objects.requireNonNull(usage, "usage");
-    if (inForce.toMillis() < 1) {
-      throw new IllegalArgumentException("inForce must be at least 1 ms, but is " + inForce);
+    if (propagationLimit.toMillis() < 1) {
+      throw new IllegalArgumentException(
+          "inForce must be at least 1 ms, but is " + propagationLimit);
     }
     if (jobPartitions < 1) {
       throw new IllegalArgumentException("jobPartitions must be at least 1");
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -58,7 +58,7 @@
             context.tables(),
             context.timers(),
             documents.operatorTable(),
-            context.settings().inForce(),
+            context.settings().propagationLimit(),
             () -> 0,
             new OperatorListener());
     this.serverEntries =
@@ -66,7 +66,7 @@
             context.tables(),
             context.timers(),
             documents.serverTable(),
-            context.settings().inForce(),
+            context.settings().propagationLimit(),
             betweenServersMillis,
             new ServerListener());
   }
@@ -108,7 +108,8 @@
    * that must be in force is in force, false if the store does not answer in time.
    */
   public Uni<Boolean> confirmConfiguration() {
-    if (operator.wasReadWithin(context.settings().inForce().toMillis() / FRESHNESS_DIVISOR)) {
+    if (operator.wasReadWithin(
+        context.settings().propagationLimit().toMillis() / FRESHNESS_DIVISOR)) {
       return Uni.createFrom().item(true);
     }
     return context
