--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -21,7 +21,7 @@
  * @param loadLimit limit on the servers of a service that load weights at the same time
  * @param propagationLimit time within which changes of the configuration and of servers must take
  *     effect
- * @param keepJobs retention time of ended jobs
+ * @param jobRetention retention time of ended jobs
  * @param mostRecordBytes maximum size of a log record
  * @param mostAppendBytes maximum size of an append to the log
  * @param usage schedule of usage reports; empty if usage is not reported
@@ -38,7 +38,7 @@
     DutyLease.Settings lease,
     LoadLimit loadLimit,
     Duration propagationLimit,
-    Duration keepJobs,
+    Duration jobRetention,
     int mostRecordBytes,
     int mostAppendBytes,
     Optional<UsageSettings> usage,
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -392,6 +392,6 @@
   }
 
   private void removeExpiredJobs() {
-    table.forget(context.nowMillis() - context.settings().keepJobs().toMillis());
+    table.forget(context.nowMillis() - context.settings().jobRetention().toMillis());
   }
 }
