--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -22,7 +22,7 @@
  * @param propagationLimit time within which changes of the configuration and of servers must take
  *     effect
  * @param jobRetention retention time of ended jobs
- * @param mostRecordBytes maximum size of a log record
+ * @param maxRecordBytes maximum size of a log record
  * @param mostAppendBytes maximum size of an append to the log
  * @param usage schedule of usage reports; empty if usage is not reported
  * @param cores number of processor cores of the machine; zero if unknown
@@ -39,7 +39,7 @@
     LoadLimit loadLimit,
     Duration propagationLimit,
     Duration jobRetention,
-    int mostRecordBytes,
+    int maxRecordBytes,
     int mostAppendBytes,
     Optional<UsageSettings> usage,
     double cores) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -94,7 +94,7 @@
 
   /** Splits an encoded submission into records of the maximum size. */
   private List<byte[]> split(String id, long attempt, byte[] content) {
-    int maxPartBytes = context.settings().mostRecordBytes() - RECORD_OVERHEAD_BYTES;
+    int maxPartBytes = context.settings().maxRecordBytes() - RECORD_OVERHEAD_BYTES;
     int parts = Math.max(1, (content.length + maxPartBytes - 1) / maxPartBytes);
     List<byte[]> records = new ArrayList<>();
     for (int part = 0; part < parts; part++) {
--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -201,7 +201,7 @@
     List<byte[]> records = new ArrayList<>();
     List<TextPart> current = new ArrayList<>();
     long bytes = 0;
-    long maxBytes = context.settings().mostRecordBytes() / RECORD_FILL_DIVISOR;
+    long maxBytes = context.settings().maxRecordBytes() / RECORD_FILL_DIVISOR;
     List<TextPart> pieces =
         parts.stream()
             .flatMap(part -> ItemText.cut(part, maxBytes, EVENT_OVERHEAD_BYTES).stream())
