--- a/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
@@ -58,7 +58,7 @@
     this.waiters = Objects.requireNonNull(waiters, "waiters");
     this.change = Objects.requireNonNull(change, "change");
     this.startedAtMillis = context.nowMillis();
-    this.maxCallBytes = context.settings().mostAppendBytes() - RECORD_OVERHEAD_BYTES;
+    this.maxCallBytes = context.settings().maxAppendBytes() - RECORD_OVERHEAD_BYTES;
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -23,7 +23,7 @@
  *     effect
  * @param jobRetention retention time of ended jobs
  * @param maxRecordBytes maximum size of a log record
- * @param mostAppendBytes maximum size of an append to the log
+ * @param maxAppendBytes maximum size of an append to the log
  * @param usage schedule of usage reports; empty if usage is not reported
  * @param cores number of processor cores of the machine; zero if unknown
  */
@@ -40,7 +40,7 @@
     Duration propagationLimit,
     Duration jobRetention,
     int maxRecordBytes,
-    int mostAppendBytes,
+    int maxAppendBytes,
     Optional<UsageSettings> usage,
     double cores) {
   public GatewaySettings {
