--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -104,7 +104,7 @@
   public final Counter requestsWithoutRoute;
 
   /** Requests redirected because the configuration that rejects them may be stale. */
-  public final Counter requestsUnsure;
+  public final Counter requestsWithStaleConfiguration;
 
   /** Requests that admission control queued. */
   public final Counter requestsWaited;
@@ -134,7 +134,7 @@
     requestsWithoutKey = registry.counter(REJECTED_METRIC, "reason", "no-key");
     requestsWithUnknownKey = registry.counter(REJECTED_METRIC, "reason", "unknown-key");
     requestsWithoutRoute = registry.counter(REJECTED_METRIC, "reason", "no-route");
-    requestsUnsure = registry.counter(REJECTED_METRIC, "reason", "unsure");
+    requestsWithStaleConfiguration = registry.counter(REJECTED_METRIC, "reason", "unsure");
     fleetLosses = registry.counter("passhaven.gateway.fleet.losses");
     leaseChanges = registry.counter("passhaven.gateway.lease.changes");
     windowsReported = registry.counter("passhaven.gateway.usage.reports", "outcome", "done");
