--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -47,7 +47,7 @@
   public final Counter subsetsWidened;
 
   /** Generations started or continued. */
-  public final Counter generationsBegun;
+  public final Counter generationsStarted;
 
   /** Generations that failed at a server. */
   public final Counter generationsFailed;
@@ -120,7 +120,7 @@
     requestsUnknown = registry.counter("passhaven.gateway.requests", "outcome", "outcome-unknown");
     attemptsFailed = registry.counter("passhaven.gateway.attempts.failed");
     subsetsWidened = registry.counter("passhaven.gateway.subsets.widened");
-    generationsBegun = registry.counter("passhaven.gateway.generations.begun");
+    generationsStarted = registry.counter("passhaven.gateway.generations.begun");
     generationsFailed = registry.counter("passhaven.gateway.generations.failed");
     generationsRefused = registry.counter("passhaven.gateway.generations.refused");
     movesFromSlowServers = registry.counter(MOVED_METRIC, "reason", "slow-server");
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -317,7 +317,7 @@
                 progress -> onProgress(attempt, progress),
                 failure -> onFailed(start, BackEndException.from(failure)),
                 () -> onCompleted(start));
-    context.metrics().generationsBegun.increment();
+    context.metrics().generationsStarted.increment();
     generations.put(attempt, generation);
   }
 
