--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -62,7 +62,7 @@
   public final Counter movesFromSlowServers;
 
   /** Generations moved because they had stalled. */
-  public final Counter movesOfStalled;
+  public final Counter movesOfStalledGenerations;
 
   /** Results read back from the log. */
   public final Counter resultsListed;
@@ -124,7 +124,7 @@
     generationsFailed = registry.counter("passhaven.gateway.generations.failed");
     generationsRefused = registry.counter("passhaven.gateway.generations.refused");
     movesFromSlowServers = registry.counter(MOVED_METRIC, "reason", "slow-server");
-    movesOfStalled = registry.counter(MOVED_METRIC, "reason", "stalled");
+    movesOfStalledGenerations = registry.counter(MOVED_METRIC, "reason", "stalled");
     generationsStopped = registry.counter("passhaven.gateway.generations.stopped");
     resultsListed = registry.counter("passhaven.gateway.results.listed");
     appendsRepeated = registry.counter("passhaven.gateway.appends.repeated");
@@ -189,7 +189,7 @@
     if (why.equals(JobScheduler.SLOW_SERVER)) {
       movesFromSlowServers.increment();
     } else if (why.equals(JobScheduler.STALLED)) {
-      movesOfStalled.increment();
+      movesOfStalledGenerations.increment();
     }
   }
 
