--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -65,7 +65,7 @@
   public final Counter movesOfStalledGenerations;
 
   /** Results read back from the log. */
-  public final Counter resultsListed;
+  public final Counter resultsRecorded;
 
   /** Retried appends of results. */
   public final Counter appendsRepeated;
@@ -126,7 +126,7 @@
     movesFromSlowServers = registry.counter(MOVED_METRIC, "reason", "slow-server");
     movesOfStalledGenerations = registry.counter(MOVED_METRIC, "reason", "stalled");
     generationsStopped = registry.counter("passhaven.gateway.generations.stopped");
-    resultsListed = registry.counter("passhaven.gateway.results.listed");
+    resultsRecorded = registry.counter("passhaven.gateway.results.listed");
     appendsRepeated = registry.counter("passhaven.gateway.appends.repeated");
     serversEndedUnderRequests = registry.counter("passhaven.gateway.servers.ended.under.requests");
     requestsHeldBack = registry.counter("passhaven.gateway.requests.held.back");
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -134,7 +134,7 @@
     Job job = log.table().get(record.job());
     if (effect == JobTable.Effect.LISTED) {
       String item = ((JobRecord.ItemFinished) record).item();
-      context.metrics().resultsListed.increment();
+      context.metrics().resultsRecorded.increment();
       results.onResultRecorded(job, item);
       scheduler.historyOf(job.id(), item).ifPresent(history -> logRecordedItem(job, item, history));
       apply(scheduler.onListed(job.id(), item));
