--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -68,7 +68,7 @@
   public final Counter resultsRecorded;
 
   /** Retried appends of results. */
-  public final Counter appendsRepeated;
+  public final Counter appendsRetried;
 
   /** Orders to load a weight version that were sent to servers. */
   public final Counter ordersSent;
@@ -127,7 +127,7 @@
     movesOfStalledGenerations = registry.counter(MOVED_METRIC, "reason", "stalled");
     generationsStopped = registry.counter("passhaven.gateway.generations.stopped");
     resultsRecorded = registry.counter("passhaven.gateway.results.listed");
-    appendsRepeated = registry.counter("passhaven.gateway.appends.repeated");
+    appendsRetried = registry.counter("passhaven.gateway.appends.repeated");
     serversEndedUnderRequests = registry.counter("passhaven.gateway.servers.ended.under.requests");
     requestsHeldBack = registry.counter("passhaven.gateway.requests.held.back");
     documentsUnreadable = registry.counter("passhaven.gateway.documents.unreadable");
--- a/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
@@ -186,7 +186,7 @@
       // The call may have timed out because of its size: retry with a smaller batch.
       queue.maxBatchBytes = Math.max(MIN_BATCH_BYTES, queue.maxBatchBytes / 2);
     }
-    context.metrics().appendsRepeated.increment();
+    context.metrics().appendsRetried.increment();
     LOG.atWarn()
         .addKeyValue("stream", queue.stream)
         .addKeyValue("records", records)
