--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -162,7 +162,7 @@
     if (table.crashes(fingerprint) == crashesBefore) {
       return;
     }
-    context.metrics().serversEndedUnderRequests.increment();
+    context.metrics().serverCrashesUnderRequests.increment();
     LOG.atInfo()
         .addKeyValue("fingerprint", fingerprint)
         .addKeyValue("server", server)
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -74,7 +74,7 @@
   public final Counter ordersSent;
 
   /** Server crashes during requests of this node, counted once for each request. */
-  public final Counter serversEndedUnderRequests;
+  public final Counter serverCrashesUnderRequests;
 
   /** Requests that were not run because servers had crashed while running them. */
   public final Counter requestsHeldBack;
@@ -128,7 +128,7 @@
     generationsStopped = registry.counter("passhaven.gateway.generations.stopped");
     resultsRecorded = registry.counter("passhaven.gateway.results.listed");
     appendsRetried = registry.counter("passhaven.gateway.appends.repeated");
-    serversEndedUnderRequests = registry.counter("passhaven.gateway.servers.ended.under.requests");
+    serverCrashesUnderRequests = registry.counter("passhaven.gateway.servers.ended.under.requests");
     requestsHeldBack = registry.counter("passhaven.gateway.requests.held.back");
     documentsUnreadable = registry.counter("passhaven.gateway.documents.unreadable");
     requestsWithoutKey = registry.counter(REJECTED_METRIC, "reason", "no-key");
