--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -86,7 +86,7 @@
   public final Counter fleetLosses;
 
   /** Usage windows that this node reported. */
-  public final Counter windowsReported;
+  public final Counter usageWindowsReported;
 
   /** Usage reports that failed or were not answered. */
   public final Counter windowReportsFailed;
@@ -137,7 +137,7 @@
     requestsWithStaleConfiguration = registry.counter(REJECTED_METRIC, "reason", "unsure");
     fleetLosses = registry.counter("passhaven.gateway.fleet.losses");
     leaseChanges = registry.counter("passhaven.gateway.lease.changes");
-    windowsReported = registry.counter("passhaven.gateway.usage.reports", "outcome", "done");
+    usageWindowsReported = registry.counter("passhaven.gateway.usage.reports", "outcome", "done");
     windowReportsFailed = registry.counter("passhaven.gateway.usage.reports", "outcome", "failed");
     ordersSent = registry.counter("passhaven.gateway.orders.sent");
     requestsWaited = registry.counter("passhaven.gateway.admission.waited");
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -160,7 +160,7 @@
 
   private void onReported(Usage usage, long sentAtMillis) {
     isSending = false;
-    context.metrics().windowsReported.increment();
+    context.metrics().usageWindowsReported.increment();
     LOG.atInfo()
         .addKeyValue("window", usage.window())
         .addKeyValue("tenants", usage.counts().size())
