--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -89,7 +89,7 @@
   public final Counter usageWindowsReported;
 
   /** Usage reports that failed or were not answered. */
-  public final Counter windowReportsFailed;
+  public final Counter usageReportsFailed;
 
   /** Unreadable documents in the platform's store, such as server entries. */
   public final Counter documentsUnreadable;
@@ -138,7 +138,7 @@
     fleetLosses = registry.counter("passhaven.gateway.fleet.losses");
     leaseChanges = registry.counter("passhaven.gateway.lease.changes");
     usageWindowsReported = registry.counter("passhaven.gateway.usage.reports", "outcome", "done");
-    windowReportsFailed = registry.counter("passhaven.gateway.usage.reports", "outcome", "failed");
+    usageReportsFailed = registry.counter("passhaven.gateway.usage.reports", "outcome", "failed");
     ordersSent = registry.counter("passhaven.gateway.orders.sent");
     requestsWaited = registry.counter("passhaven.gateway.admission.waited");
     requestLatency =
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -181,7 +181,7 @@
   private void onFailed(Usage usage, PlatformException failure) {
     isSending = false;
     retryNotBeforeMillis = context.nowMillis() + RETRY_DELAY_MILLIS;
-    context.metrics().windowReportsFailed.increment();
+    context.metrics().usageReportsFailed.increment();
     LOG.atInfo()
         .addKeyValue("window", usage.window())
         .addKeyValue("fence", usage.fence())
