--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -95,7 +95,7 @@
     members.onClockJump(this::renewReads);
     jobLog.addOwnerListener(members::shortenIntervals);
     jobLog.addOwnerListener(directory::endReadPause);
-    context.metrics().showPartitionsBehind(jobLog);
+    context.metrics().registerPartitionsBehind(jobLog);
     context.metrics().showConfigurationAge(directory);
     runner.start();
     duties.start();
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -148,7 +148,7 @@
   }
 
   /** Registers a gauge of the job partitions that this node has not yet read to their ends. */
-  public void showPartitionsBehind(JobLog log) {
+  public void registerPartitionsBehind(JobLog log) {
     registry.gauge(
         "passhaven.gateway.partitions.behind", log, read -> read.laggingStreams().size());
   }
