--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -96,7 +96,7 @@
     jobLog.addOwnerListener(members::shortenIntervals);
     jobLog.addOwnerListener(directory::endReadPause);
     context.metrics().registerPartitionsBehind(jobLog);
-    context.metrics().showConfigurationAge(directory);
+    context.metrics().registerConfigurationAge(directory);
     runner.start();
     duties.start();
     meter.ifPresent(UsageMeter::start);
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -154,7 +154,7 @@
   }
 
   /** Registers a gauge of the configuration's age; NaN while no configuration is known. */
-  public void showConfigurationAge(PlatformDirectory directory) {
+  public void registerConfigurationAge(PlatformDirectory directory) {
     registry.gauge(
         "passhaven.gateway.configuration.age.seconds",
         directory,
