--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -169,7 +169,7 @@
    *
    * @param state the argument of {@code load}; the gauges hold only a weak reference to it
    */
-  <T> void showAdmission(String service, T state, Function<T, ServiceAdmission.Load> load) {
+  <T> void registerAdmission(String service, T state, Function<T, ServiceAdmission.Load> load) {
     Tags tags = Tags.of("service", service);
     registry.gauge(
         "passhaven.gateway.admission.waiting", tags, state, read -> load.apply(read).waiting());
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -169,7 +169,9 @@
 
     Service(String name) {
       this.name = name;
-      context.metrics().showAdmission(name, this, each -> each.admission.load(context.nowMillis()));
+      context
+          .metrics()
+          .registerAdmission(name, this, each -> each.admission.load(context.nowMillis()));
       if (stopping) {
         admission.stop(context.nowMillis());
       }
