--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -165,7 +165,7 @@
       }
       try {
         if (documents.isConfiguration(key)) {
-          apply(documents.configuration(value));
+          apply(documents.parseConfiguration(value));
         } else {
           documents.namedVersion(key, value).forEach(this::onVersionAnnounced);
         }
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
@@ -23,7 +23,7 @@
    *
    * @throws DocumentException if the document is invalid
    */
-  RouteTable configuration(byte[] document);
+  RouteTable parseConfiguration(byte[] document);
 
   /** Returns the weight versions by model that an operator's document names; may be empty. */
   Map<String, Long> namedVersion(String key, byte[] document);
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public RouteTable configuration(byte[] document) {
+    public RouteTable parseConfiguration(byte[] document) {
       return RouteTable.EMPTY;
     }
 
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public RouteTable configuration(byte[] document) {
+    public RouteTable parseConfiguration(byte[] document) {
       Route route =
           new Route(
               "r",
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public RouteTable configuration(byte[] document) {
+    public RouteTable parseConfiguration(byte[] document) {
       TenantTable tenants =
           new TenantTable(
               Map.of(
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public RouteTable configuration(byte[] document) {
+  public RouteTable parseConfiguration(byte[] document) {
     return new RouteTable(
         number(document),
         List.of(
