--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -167,7 +167,7 @@
         if (documents.isConfiguration(key)) {
           apply(documents.parseConfiguration(value));
         } else {
-          documents.namedVersion(key, value).forEach(this::onVersionAnnounced);
+          documents.parseAnnouncedVersions(key, value).forEach(this::onVersionAnnounced);
         }
       } catch (DocumentException e) {
         context.metrics().documentsUnreadable.increment();
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
@@ -26,7 +26,7 @@
   RouteTable parseConfiguration(byte[] document);
 
   /** Returns the weight versions by model that an operator's document names; may be empty. */
-  Map<String, Long> namedVersion(String key, byte[] document);
+  Map<String, Long> parseAnnouncedVersions(String key, byte[] document);
 
   /**
    * Parses a server entry.
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public Map<String, Long> namedVersion(String key, byte[] document) {
+    public Map<String, Long> parseAnnouncedVersions(String key, byte[] document) {
       return Map.of();
     }
 
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public Map<String, Long> namedVersion(String key, byte[] document) {
+  public Map<String, Long> parseAnnouncedVersions(String key, byte[] document) {
     return key.startsWith(VERSION_PREFIX)
         ? Map.of(key.substring(VERSION_PREFIX.length()), number(document))
         : Map.of();
