--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -236,7 +236,7 @@
     /** Stores an entry; an unreadable one removes the earlier entry of the same key. */
     private void parseAndStore(String key, byte[] value) {
       try {
-        servers.put(documents.server(key, value));
+        servers.put(documents.parseServer(key, value));
         unreadable.remove(key);
       } catch (DocumentException e) {
         servers.remove(key);
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
@@ -33,7 +33,7 @@
    *
    * @throws DocumentException if the document is invalid
    */
-  ServerEntry server(String key, byte[] document);
+  ServerEntry parseServer(String key, byte[] document);
 
   /** Thrown when a document can't be parsed. */
   final class DocumentException extends RuntimeException {
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public ServerEntry server(String key, byte[] document) {
+    public ServerEntry parseServer(String key, byte[] document) {
       throw new DocumentException("none", null);
     }
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public ServerEntry server(String key, byte[] document) {
+    public ServerEntry parseServer(String key, byte[] document) {
       return new ServerEntry(ServerStart.of(key), "llm", "s:1", "z", 8, true, Map.of(MODEL, 1L));
     }
   }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public ServerEntry server(String key, byte[] document) {
+    public ServerEntry parseServer(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
     }
   }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -81,7 +81,7 @@
 
   private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
-    public ServerEntry server(String key, byte[] document) {
+    public ServerEntry parseServer(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
     }
   }
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -99,7 +99,7 @@
 
   private static final class Documents extends GatewayFixture.EmptyDocuments {
     @Override
-    public ServerEntry server(String key, byte[] document) {
+    public ServerEntry parseServer(String key, byte[] document) {
       return Codec.decode(document, ServerEntry.class);
     }
   }
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDocuments.java
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public ServerEntry server(String key, byte[] document) {
+  public ServerEntry parseServer(String key, byte[] document) {
     return Codec.decode(document, ServerEntry.class);
   }
 }
