--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -94,8 +94,8 @@
 
   /** Records the outcome of an attempt that a server answered. */
   void onAnswered(Outcome outcome) {
-    boolean isSound = outcome == Outcome.SUCCESS || outcome == Outcome.FINAL;
-    if (isSound && !crashes.hasNoSuspects()) {
+    boolean isServerHealthy = outcome == Outcome.SUCCESS || outcome == Outcome.FINAL;
+    if (isServerHealthy && !crashes.hasNoSuspects()) {
       crashes.onSucceeded(fingerprint());
     }
     isInTrial &= outcome == Outcome.NOT_RUN;
@@ -110,7 +110,7 @@
     return crashes.onInterrupted(fingerprint(), server);
   }
 
-  /** Returns an unused trial when the request is over. */
+  /** Gives back an unused trial when the request is over. */
   void close(boolean isRunning) {
     if (isInTrial && !isRunning) {
       crashes.returnTrial(fingerprint());
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -44,7 +44,7 @@
   private long knownClockJumps;
   private long lastDecisionMillis = Long.MIN_VALUE / 2;
   private boolean wasHolder;
-  private boolean stopping;
+  private boolean isStopping;
   private int callsInFlight;
   private long lastUnansweredMillis = Long.MIN_VALUE / 2;
 
@@ -84,7 +84,7 @@
 
   /** Returns whether the lease is valid now, so that a call may be sent. */
   boolean mayAct() {
-    return !stopping && lease.mayAct(now());
+    return !isStopping && lease.mayAct(nowMillis());
   }
 
   /** Returns the epoch of the lease, which is the fencing token of the holder's calls. */
@@ -94,7 +94,7 @@
 
   /** Stops the duties, and releases the lease once all calls in flight are answered. */
   void stop() {
-    stopping = true;
+    isStopping = true;
     releaseIfDone();
   }
 
@@ -110,7 +110,8 @@
   }
 
   /**
-   * Records that a call got no answer. It may still arrive, which delays a release of the lease.
+   * Records that a call got no answer. It may still be in flight, so the lease is not released
+   * early.
    */
   void onCallUnanswered() {
     callsInFlight--;
@@ -120,7 +121,7 @@
   private void releaseIfDone() {
     long sinceUnanswered = context.nowMillis() - lastUnansweredMillis;
     boolean allArrived = sinceUnanswered >= context.settings().lease().handOverMillis();
-    if (stopping && callsInFlight == 0 && allArrived) {
+    if (isStopping && callsInFlight == 0 && allArrived) {
       lease.release().ifPresent(this::append);
     }
   }
@@ -134,7 +135,7 @@
       LOG.atError().addKeyValue("reason", e.getMessage()).log("duties: a record can't be read");
       return;
     }
-    lease.onRecord(record, now());
+    lease.onRecord(record, nowMillis());
     duties.forEach(duty -> duty.onRecord(record));
     if (!(record instanceof DutyRecord.Reached)) {
       onLeaseChanged();
@@ -173,8 +174,8 @@
         : IDLE_READ_PAUSE_MILLIS;
   }
 
-  /** Returns the current time, after ending the lease if the process was suspended. */
-  private long now() {
+  /** Returns the current time, after invalidating the lease if the process was suspended. */
+  private long nowMillis() {
     long now = context.nowMillis();
     long jumps = context.timers().clockGaps().count();
     if (jumps != knownClockJumps) {
@@ -193,15 +194,16 @@
 
   /** Claims or renews the lease if needed, and runs the duties if this node holds it. */
   void decide() {
-    if (stopping || !tail.isCaughtUp()) {
+    if (isStopping || !tail.isCaughtUp()) {
       return;
     }
-    long now = now();
+    long now = nowMillis();
     if (isOnStandby(now)) {
       return;
     }
     lastDecisionMillis = now;
-    // A former holder need not know the liveness of other nodes: only itself held the lease.
+    // The former holder need not know the liveness of other nodes, since none of them held the
+    // lease.
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
     boolean mayClaim = members.isMembershipKnown() || (isFormerHolder && members.isLogReachable());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -51,8 +51,8 @@
   private boolean stopping;
 
   /** Creates a node; {@link #start} starts its work. */
-  public Gateway(GatewayContext given) {
-    this.context = Objects.requireNonNull(given, "context").withClockJumpDetection();
+  public Gateway(GatewayContext baseContext) {
+    this.context = Objects.requireNonNull(baseContext, "context").withClockJumpDetection();
     this.jobLog = new JobLog(context);
     this.directory =
         new PlatformDirectory(
@@ -92,7 +92,7 @@
     crashes.start();
     members.start(() -> jobLog.start(members.heartbeats()), jobLog::rescheduleReads);
     context.timers().after(FOLLOW_JOBS_DELAY_MILLIS, () -> jobLog.start(members.heartbeats()));
-    members.onClockJump(this::renewReads);
+    members.onClockJump(this::restartReads);
     jobLog.addOwnerListener(members::shortenIntervals);
     jobLog.addOwnerListener(directory::endReadPause);
     context.metrics().registerPartitionsBehind(jobLog);
@@ -103,7 +103,7 @@
   }
 
   /** Restarts reads after a suspension, since pending ones may never complete. */
-  private void renewReads() {
+  private void restartReads() {
     directory.restartReads();
     crashes.restartReads();
     duties.restartReads();
@@ -122,8 +122,10 @@
     if (jobLog.ownsAnyRun() || jobLog.isStandbyForOpenJobs() || members.hasJustStarted()) {
       return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
-    boolean isAsked = context.nowMillis() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
-    return isAsked ? DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS : IDLE_HEARTBEAT_READ_PAUSE_MILLIS;
+    boolean isDiscoveryActive = context.nowMillis() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
+    return isDiscoveryActive
+        ? DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS
+        : IDLE_HEARTBEAT_READ_PAUSE_MILLIS;
   }
 
   /** Returns whether this node accepts new work. */
--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -48,11 +48,11 @@
     Objects.requireNonNull(zone, "zone");
     Objects.requireNonNull(address, "address");
     Objects.requireNonNull(lease, "lease");
-    Objects.requireNonNull(loadLimit, "loads");
+    Objects.requireNonNull(loadLimit, "loadLimit");
     Objects.requireNonNull(usage, "usage");
     if (propagationLimit.toMillis() < 1) {
       throw new IllegalArgumentException(
-          "inForce must be at least 1 ms, but is " + propagationLimit);
+          "propagationLimit must be at least 1 ms, but is " + propagationLimit);
     }
     if (jobPartitions < 1) {
       throw new IllegalArgumentException("jobPartitions must be at least 1");
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -30,8 +30,13 @@
   private static final long STARTUP_MILLIS = 5_000;
 
   private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
+
+  /** Number of records before this node's first heartbeat that are read at the start. */
   private static final long HISTORY_RECORDS = 64;
+
+  /** Time after the first heartbeat in which all live nodes have sent one. */
   private static final long SETTLE_MILLIS = 1_100;
+
   private static final long FIRST_HEARTBEAT_RETRY_MILLIS = 100;
   private final GatewayContext context;
   private final DoubleSupplier requestsPerSecond;
@@ -57,7 +62,7 @@
   private boolean isFleetLost;
   private Runnable followingCallback = () -> {};
   private Runnable fleetLostCallback = () -> {};
-  private Runnable onClockJump = () -> {};
+  private Runnable clockJumpCallback = () -> {};
   private Supplier<List<ServerUse>> serverUse = List::of;
   private Consumer<MemberBeat> otherHeartbeatConsumer = heartbeat -> {};
 
@@ -98,7 +103,7 @@
 
   /** Sets the task that runs after a clock jump, when pending reads may never complete. */
   void onClockJump(Runnable task) {
-    onClockJump = Objects.requireNonNull(task, "task");
+    clockJumpCallback = Objects.requireNonNull(task, "task");
   }
 
   /**
@@ -127,14 +132,14 @@
 
   /** Returns whether a recent heartbeat of this node was written and read back. */
   public boolean isLogReachable() {
-    return now() - lastOwnReadMillis < heartbeats.silenceMillis(announcedPeriodMillis);
+    return nowMillis() - lastOwnReadMillis < heartbeats.silenceMillis(announcedPeriodMillis);
   }
 
   /**
    * Returns the current time. After a clock jump it first discards the earlier heartbeats: liveness
    * is known again only when a heartbeat sent after the jump was read back.
    */
-  private long now() {
+  private long nowMillis() {
     long now = context.nowMillis();
     long jumps = context.timers().clockGaps().count();
     if (jumps != knownClockJumps) {
@@ -143,7 +148,7 @@
       firstOffsetAfterJump = Long.MAX_VALUE;
       lastHeartbeatSentMillis = NEVER_MILLIS;
       tail.renew();
-      onClockJump.run();
+      clockJumpCallback.run();
     }
     return now;
   }
@@ -182,7 +187,7 @@
     long period = currentPeriodMillis();
     // The other nodes rely on the period announced by the last heartbeat if it is shorter.
     boolean isDue =
-        now() - lastHeartbeatSentMillis >= Math.min(period, announcedPeriodMillis)
+        nowMillis() - lastHeartbeatSentMillis >= Math.min(period, announcedPeriodMillis)
             || period < announcedPeriodMillis;
     if (!isHeartbeatInFlight && (isDue || !isFollowing)) {
       append();
@@ -197,7 +202,7 @@
 
   private void append() {
     isHeartbeatInFlight = true;
-    lastHeartbeatSentMillis = now();
+    lastHeartbeatSentMillis = nowMillis();
     clockJumpsAtAppend = knownClockJumps;
     announcedPeriodMillis = currentPeriodMillis();
     GatewaySettings settings = context.settings();
@@ -283,7 +288,7 @@
   }
 
   private void onOwnHeartbeatRead() {
-    long now = now();
+    long now = nowMillis();
     ownHeartbeatsRead++;
     if (tail.position() > firstOffsetAfterJump) {
       lastOwnReadMillis = now;
@@ -314,12 +319,12 @@
   }
 
   private void logChange() {
-    List<String> now = heartbeats.taking().stream().map(MemberBeat::node).toList();
-    if (tail.isCaughtUp() && !now.equals(lastLoggedNodes)) {
-      lastLoggedNodes = now;
+    List<String> liveNodes = heartbeats.taking().stream().map(MemberBeat::node).toList();
+    if (tail.isCaughtUp() && !liveNodes.equals(lastLoggedNodes)) {
+      lastLoggedNodes = liveNodes;
       LOG.atInfo()
-          .addKeyValue("live", now.size())
-          .addKeyValue("nodes", now)
+          .addKeyValue("live", liveNodes.size())
+          .addKeyValue("nodes", liveNodes)
           .log("members: changed");
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -132,12 +132,12 @@
     return servers;
   }
 
-  /** Returns the newest named weight version of each model. */
+  /** Returns the newest announced weight version of each model. */
   public Map<String, NamedVersion> announcedVersions() {
     return announcedVersions;
   }
 
-  /** Returns the number of the newest named weight version of each model. */
+  /** Returns the number of the newest announced weight version of each model. */
   public Map<String, Long> newestVersions() {
     Map<String, Long> versions = new HashMap<>();
     announcedVersions.forEach((model, newest) -> versions.put(model, newest.version()));
@@ -247,8 +247,8 @@
 
     /** Logs a key once for each reason, since servers rewrite their entries with each heartbeat. */
     private void logUnreadable(String key, String reason) {
-      boolean isNews = !reason.equals(unreadable.get(key));
-      if (isNews && unreadable.size() < MAX_UNREADABLE_KEYS) {
+      boolean isNewReason = !reason.equals(unreadable.get(key));
+      if (isNewReason && unreadable.size() < MAX_UNREADABLE_KEYS) {
         unreadable.put(key, reason);
         LOG.atError()
             .addKeyValue("server", key)
@@ -259,8 +259,8 @@
 
     private void logChange(String key, ServerEntry before, ServerEntry after) {
       String state = after == null ? "gone" : after.ready() ? "ready" : "draining";
-      boolean isNews = before == null || after == null || before.ready() != after.ready();
-      if (isNews) {
+      boolean isStateChange = before == null || after == null || before.ready() != after.ready();
+      if (isStateChange) {
         ServerEntry known = after == null ? before : after;
         LOG.atInfo()
             .addKeyValue("server", key)
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDocuments.java
@@ -25,7 +25,7 @@
    */
   RouteTable parseConfiguration(byte[] document);
 
-  /** Returns the weight versions by model that an operator's document names; may be empty. */
+  /** Returns the weight versions by model that an operator's document announces; may be empty. */
   Map<String, Long> parseAnnouncedVersions(String key, byte[] document);
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -163,7 +163,7 @@
     private final ServiceAdmission admission =
         new ServiceAdmission(context.randomBelow(), context.nowMillis());
     private final Map<Long, Slot> slots = new HashMap<>();
-    private boolean isSweeping;
+    private boolean isSweepScheduled;
     private boolean isDispatching;
     private boolean isDispatchDue;
 
@@ -180,8 +180,8 @@
 
     void updateServers() {
       List<ServerEntry> servers = candidates.apply(name);
-      int slots = servers.stream().mapToInt(ServerEntry::slots).sum();
-      admission.onServers(servers.size(), slots, context.nowMillis());
+      int totalSlots = servers.stream().mapToInt(ServerEntry::slots).sum();
+      admission.onServers(servers.size(), totalSlots, context.nowMillis());
       dispatch();
     }
 
@@ -215,14 +215,14 @@
     }
 
     void sweepLater() {
-      if (!isSweeping && admission.load(context.nowMillis()).waiting() > 0) {
-        isSweeping = true;
+      if (!isSweepScheduled && admission.load(context.nowMillis()).waiting() > 0) {
+        isSweepScheduled = true;
         context
             .timers()
             .after(
                 ServiceAdmission.SWEEP_MILLIS,
                 () -> {
-                  isSweeping = false;
+                  isSweepScheduled = false;
                   dispatch();
                   sweepLater();
                 });
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -27,7 +27,7 @@
  * decides. Not thread-safe: used on the node's event loop.
  */
 public final class RequestForwarder {
-  /** Backoff after an attempt that no server ran. */
+  /** Pause after an attempt that no server ran. */
   private static final long RETRY_PAUSE_MILLIS = 10;
 
   private static final int MIN_SERVER_ERROR_STATUS = 500;
@@ -131,7 +131,7 @@
     private final RequestLogger log;
     private Timers.Timer deadlineTimer;
     private boolean isReportedAsRun;
-    private boolean done;
+    private boolean isDone;
 
     Forward(Route route, Call call, Source source, UniEmitter<? super ForwardOutcome> emitter) {
       this.call = call;
@@ -166,7 +166,7 @@
 
     /** Sends the request to the next server; returns false if no attempt is in progress. */
     private boolean tryNext() {
-      if (done || crashGuard.isClaiming()) {
+      if (isDone || crashGuard.isClaiming()) {
         return true;
       }
       updateTimeLost();
@@ -187,7 +187,7 @@
     }
 
     private void onTrialClaimed() {
-      if (done) {
+      if (isDone) {
         crashGuard.close(false);
       } else if (!crashGuard.isInTrial() || !tryNext()) {
         failWithoutServer("no other server");
@@ -259,7 +259,7 @@
       log.onAttemptFailed(server, Outcome.UNKNOWN, failure.getMessage());
       reportRunOnce(sentAtMillis);
       crashGuard.onAnswered(Outcome.UNKNOWN);
-      if (!done) {
+      if (!isDone) {
         plan.onEnded(Outcome.UNKNOWN, context.nowMillis());
         fail("no room for the answer");
       }
@@ -274,7 +274,7 @@
     }
 
     private void continueAfter(Outcome outcome, Answer answer) {
-      if (done) {
+      if (isDone) {
         return;
       }
       updateTimeLost();
@@ -291,13 +291,13 @@
     }
 
     private void tryNextOrFail() {
-      if (!done && !tryNext()) {
+      if (!isDone && !tryNext()) {
         failWithoutServer("no other server");
       }
     }
 
     private void onDeadline() {
-      if (!done) {
+      if (!isDone) {
         fail("time is over");
       }
     }
@@ -332,10 +332,10 @@
     }
 
     private void cancel() {
-      if (done) {
+      if (isDone) {
         return;
       }
-      done = true;
+      isDone = true;
       inProgress--;
       crashGuard.close(attempts.isInProgress());
       deadlineTimer.cancel();
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -93,8 +93,8 @@
       return;
     }
     // The first choice changes with the servers, so that a new server gets its share of nodes.
-    ServerSubset formed = ServerSubset.of(self, live, ready);
-    service.subset = isSameServers ? formed.keepingFirstOf(service.subset) : formed;
+    ServerSubset newSubset = ServerSubset.of(self, live, ready);
+    service.subset = isSameServers ? newSubset.keepingFirstOf(service.subset) : newSubset;
     LOG.atDebug()
         .addKeyValue("service", name)
         .addKeyValue("nodes", live.size())
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -113,17 +113,17 @@
       return;
     }
     isReading = true;
-    LogTail reading = tail;
+    LogTail currentTail = tail;
     context
         .timers()
-        .limit(reading.refresh(), CALL_TIMEOUT_MILLIS, "usage")
+        .limit(currentTail.refresh(), CALL_TIMEOUT_MILLIS, "usage")
         .onFailure()
         .recoverWithItem(false)
         .subscribe()
         .with(
-            isSure -> {
+            isComplete -> {
               isReading = false;
-              if (isSure && reading == tail) {
+              if (isComplete && currentTail == tail) {
                 fix(window);
               }
             });
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The duty that orders servers to load the newest named weight versions. Each order carries the
+ * The duty that orders servers to load the newest announced weight versions. Each order carries the
  * sequence number of a server report read just before, so that the server ignores a delayed order
  * once it has accepted another.
  */
@@ -144,21 +144,21 @@
     if (outcome == OrderOutcome.IN_EFFECT) {
       onVersionReached(wanted);
     } else if (outcome == OrderOutcome.STARTED) {
-      long until = context.nowMillis() + LOAD_TIMEOUT_MILLIS;
-      context.timers().after(FIRST_POLL_DELAY_MILLIS, () -> pollLoad(wanted, until));
+      long deadlineMillis = context.nowMillis() + LOAD_TIMEOUT_MILLIS;
+      context.timers().after(FIRST_POLL_DELAY_MILLIS, () -> pollLoad(wanted, deadlineMillis));
     } else {
       retryLater(wanted, "the server answered " + outcome);
     }
   }
 
   /** Polls the server until it has loaded the version or the time limit has passed. */
-  private void pollLoad(Wanted wanted, long untilMillis) {
+  private void pollLoad(Wanted wanted, long deadlineMillis) {
     ServerEntry entry = directory.servers().get(wanted.server().start());
     if (entry != null && entry.versionOf(wanted.model()) >= wanted.version()) {
       onVersionReached(wanted);
       return;
     }
-    if (entry == null || context.nowMillis() >= untilMillis) {
+    if (entry == null || context.nowMillis() >= deadlineMillis) {
       retryLater(wanted, "the load did not end in time");
       return;
     }
@@ -167,18 +167,20 @@
         .report(ServerTargets.of(wanted.server()), CALL_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            report -> onLoadReport(wanted, report, untilMillis),
+            report -> onLoadReport(wanted, report, deadlineMillis),
             failure ->
-                context.timers().after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, untilMillis)));
+                context
+                    .timers()
+                    .after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, deadlineMillis)));
   }
 
-  private void onLoadReport(Wanted wanted, Report report, long untilMillis) {
+  private void onLoadReport(Wanted wanted, Report report, long deadlineMillis) {
     if (isOfOtherIncarnation(wanted, report)) {
       retryLater(wanted, "the server restarted during the load");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
       onVersionReached(wanted);
     } else {
-      context.timers().after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, untilMillis));
+      context.timers().after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, deadlineMillis));
     }
   }
 
