--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -34,7 +34,7 @@
   /** Number of records before this node's first heartbeat that are read at the start. */
   private static final long HISTORY_RECORDS = 64;
 
-  /** Time after the first heartbeat in which all live nodes have sent one. */
+  /** Time after the first written heartbeat until the membership counts as known. */
   private static final long SETTLE_MILLIS = 1_100;
 
   private static final long FIRST_HEARTBEAT_RETRY_MILLIS = 100;
@@ -165,7 +165,7 @@
 
   /**
    * Returns whether all nodes that were alive before this node's start may be dead. The state ends
-   * when this node's second heartbeat is read back, since all live nodes have sent one by then, or
+   * when this node's second heartbeat is read back, since those of live nodes were read by then, or
    * after a timeout.
    */
   boolean isLivenessUnknown() {
@@ -241,7 +241,7 @@
     if (!isFollowing) {
       isFollowing = true;
       firstWrittenAtMillis = context.nowMillis();
-      // Starts the period now: by the next heartbeat each live node has sent one as well.
+      // Starts the period now: before the next own heartbeat those of live nodes are read.
       context.timers().every(context.settings().heartbeatInterval().toMillis(), this::sendIfDue);
       // Reads recent heartbeats first, to find the other nodes at once.
       tail.start(Math.max(0, offset - HISTORY_RECORDS));
