--- a/core/src/main/java/org/passhaven/core/log/ReadWindow.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadWindow.java
@@ -28,7 +28,7 @@
   }
 
   /** Adjusts the limit after a read that completed. */
-  public void onAnswered(long durationMillis) {
+  public void onReadCompleted(long durationMillis) {
     if (durationMillis <= FAST_READ_MILLIS) {
       limit = Math.min(MAX_READS, limit + 1);
     } else if (durationMillis >= SLOW_READ_MILLIS) {
--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
@@ -11,7 +11,7 @@
 
   private void completeReads(int count, long durationMillis) {
     for (int i = 0; i < count; i++) {
-      window.onAnswered(durationMillis);
+      window.onReadCompleted(durationMillis);
     }
   }
 
--- a/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
@@ -91,7 +91,7 @@
 
     private void onBatch(Batch batch, long begunAtMillis) {
       if (end()) {
-        window.onAnswered(timers.nowMillis() - begunAtMillis);
+        window.onReadCompleted(timers.nowMillis() - begunAtMillis);
         emitter.complete(batch);
         beginReads();
       }
