--- a/core/src/main/java/org/passhaven/core/log/ReadWindow.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadWindow.java
@@ -40,7 +40,7 @@
    * Halves the limit after a lost read. Reads that started before the last loss was detected are
    * ignored, so that reads lost together halve the limit only once.
    */
-  public void onLost(long startedAtMillis, long nowMillis) {
+  public void onReadLost(long startedAtMillis, long nowMillis) {
     if (startedAtMillis >= lastLossAtMillis) {
       limit = Math.max(1, limit / 2);
       lastLossAtMillis = nowMillis;
--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
@@ -41,11 +41,11 @@
   @Test
   void readsLostTogetherHalveTheLimitOnce() {
     completeReads(4, 40);
-    window.onLost(100, 1_300);
-    window.onLost(100, 1_300);
-    window.onLost(1_200, 2_400);
+    window.onReadLost(100, 1_300);
+    window.onReadLost(100, 1_300);
+    window.onReadLost(1_200, 2_400);
     assertThat(window.reads(), is(4));
-    window.onLost(1_300, 2_500);
+    window.onReadLost(1_300, 2_500);
     assertThat(window.reads(), is(2));
   }
 }
--- a/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
@@ -100,7 +100,7 @@
     private void onLost(Throwable failure, long begunAtMillis) {
       if (end()) {
         if (PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN) {
-          window.onLost(begunAtMillis, timers.nowMillis());
+          window.onReadLost(begunAtMillis, timers.nowMillis());
         }
         emitter.fail(failure);
         beginReads();
