--- a/core/src/main/java/org/passhaven/core/log/ReadWindow.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadWindow.java
@@ -23,7 +23,7 @@
   private long lastLossAtMillis = Long.MIN_VALUE;
 
   /** Returns the maximum number of concurrent reads; at least one. */
-  public int reads() {
+  public int maxConcurrentReads() {
     return limit;
   }
 
--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
@@ -17,25 +17,25 @@
 
   @Test
   void fastReadsRaiseTheLimitUpToTheMaximum() {
-    assertThat(window.reads(), is(4));
+    assertThat(window.maxConcurrentReads(), is(4));
     completeReads(2, 40);
-    assertThat(window.reads(), is(6));
+    assertThat(window.maxConcurrentReads(), is(6));
     completeReads(20, 40);
-    assertThat(window.reads(), is(8));
+    assertThat(window.maxConcurrentReads(), is(8));
   }
 
   @Test
   void slowReadsLowerTheLimitToOne() {
     completeReads(2, 900);
-    assertThat(window.reads(), is(2));
+    assertThat(window.maxConcurrentReads(), is(2));
     completeReads(20, 900);
-    assertThat(window.reads(), is(1));
+    assertThat(window.maxConcurrentReads(), is(1));
   }
 
   @Test
   void readsOfMediumDurationKeepTheLimit() {
     completeReads(20, 500);
-    assertThat(window.reads(), is(4));
+    assertThat(window.maxConcurrentReads(), is(4));
   }
 
   @Test
@@ -44,8 +44,8 @@
     window.onReadLost(100, 1_300);
     window.onReadLost(100, 1_300);
     window.onReadLost(1_200, 2_400);
-    assertThat(window.reads(), is(4));
+    assertThat(window.maxConcurrentReads(), is(4));
     window.onReadLost(1_300, 2_500);
-    assertThat(window.reads(), is(2));
+    assertThat(window.maxConcurrentReads(), is(2));
   }
 }
--- a/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
@@ -57,7 +57,7 @@
   }
 
   private void beginReads() {
-    while (underWay < window.reads() && !waiting.isEmpty()) {
+    while (underWay < window.maxConcurrentReads() && !waiting.isEmpty()) {
       waiting.pollFirst().begin();
     }
   }
