--- a/core/src/main/java/org/passhaven/core/log/ReadWindow.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadConcurrencyLimiter.java
@@ -6,7 +6,7 @@
  * knows neither the bandwidth of its link nor how many other nodes are reading. Times are in
  * monotonic milliseconds. Not thread-safe.
  */
-public final class ReadWindow {
+public final class ReadConcurrencyLimiter {
   /** More than one, since a single connection does not fill a link with a long round trip. */
   private static final int INITIAL_READS = 4;
 
--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
@@ -7,7 +7,7 @@
 
 /** Guards against a read limit that leaves its bounds or reacts wrongly to lost reads. */
 class ReadWindowTest {
-  private final ReadWindow window = new ReadWindow();
+  private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
 
   private void completeReads(int count, long durationMillis) {
     for (int i = 0; i < count; i++) {
--- a/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
@@ -6,7 +6,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Objects;
-import org.passhaven.core.log.ReadWindow;
+import org.passhaven.core.log.ReadConcurrencyLimiter;
 import org.passhaven.spi.LogService;
 import org.passhaven.spi.LogService.Batch;
 import org.passhaven.spi.PlatformException;
@@ -14,9 +14,10 @@
 
 /**
  * A node's reads of history, over all streams: in pieces, and as many at a time as the way to the
- * log carries ({@link ReadWindow}). After the loss of all nodes each one reads, and together they
- * share what the log gives; reads that are given up have used their part of it all the same. Each
- * stream has one read under way, whose records are all kept. Used on the node's thread.
+ * log carries ({@link ReadConcurrencyLimiter}). After the loss of all nodes each one reads, and
+ * together they share what the log gives; reads that are given up have used their part of it all
+ * the same. Each stream has one read under way, whose records are all kept. Used on the node's
+ * thread.
  */
 public final class HistoryReads {
   /**
@@ -26,7 +27,7 @@
 
   private final LogService log;
   private final Timers timers;
-  private final ReadWindow window = new ReadWindow();
+  private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
   private final Deque<Read> waiting = new ArrayDeque<>();
   private int underWay;
 
