--- a/core/src/test/java/org/passhaven/core/log/ReadWindowTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadConcurrencyLimiterTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against a read limit that leaves its bounds or reacts wrongly to lost reads. */
-class ReadWindowTest {
+class ReadConcurrencyLimiterTest {
   private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
 
   private void completeReads(int count, long durationMillis) {
