--- a/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
+++ b/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
@@ -56,14 +56,14 @@
     this.epoch = epoch;
     this.settings = Objects.requireNonNull(settings, "settings");
     this.policy = Objects.requireNonNull(policy, "policy");
-    onFolded();
+    onStateChanged();
   }
 
   /**
    * Follows a change of the replicated state: adds new steps, drops finished ones and marks commits
    * that were read back from the log.
    */
-  public void onFolded() {
+  public void onStateChanged() {
     trainerVersion = Math.max(trainerVersion, state.trainerVersion());
     progressByStep.keySet().removeIf(step -> state.step(step) == null);
     engineByPrompt.keySet().removeIf(key -> state.step(key.step()) == null);
--- a/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
+++ b/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
@@ -59,7 +59,7 @@
 
   private void commitAll(RunCoordinator coordinator) {
     coordinator.commitReady().ifPresent(this::apply);
-    coordinator.onFolded();
+    coordinator.onStateChanged();
   }
 
   private AttemptId generateOne(RunCoordinator coordinator, EngineView engine, long version) {
@@ -76,7 +76,7 @@
     LogRecord commit = coordinator.commitReady().orElseThrow();
     assertThat(coordinator.pull(0, 0, 10), empty());
     apply(commit);
-    coordinator.onFolded();
+    coordinator.onStateChanged();
     assertThat(coordinator.pull(0, 0, 10), hasSize(1));
   }
 
@@ -170,7 +170,7 @@
     RunCoordinator coordinatorAtStepTwo = coordinator;
     assertThat(coordinatorAtStepTwo.enginesOfPulledStep().size(), equalTo(1));
     apply(new LogRecord.StepSubmitted(1, 2, List.of(new Prompt(0, "p2", 1)), 1));
-    coordinatorAtStepTwo.onFolded();
+    coordinatorAtStepTwo.onStateChanged();
     coordinatorAtStepTwo.onTrainerVersion(1, -10_000);
     assertThat(
         "the only engine runs an awaited sample",
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -199,7 +199,7 @@
   private void onFolded(long sentAtMillis) {
     lease.onFencedRead(now(), sentAtMillis);
     if (coordinator != null) {
-      coordinator.onFolded();
+      coordinator.onStateChanged();
       pulls.serve(this::tryPull);
     }
   }
