--- a/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
+++ b/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
@@ -99,7 +99,7 @@
    * Cancels generations whose samples would exceed the staleness bound when the trainer pulls them,
    * and returns the actions for it.
    */
-  public List<RunAction> cancelOverAge() {
+  public List<RunAction> cancelStaleGenerations() {
     List<RunAction> actions = new ArrayList<>();
     if (policy == DispatchPolicy.BASELINE) {
       return actions;
--- a/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
+++ b/core/src/test/java/org/passhaven/core/run/RunCoordinatorTest.java
@@ -203,7 +203,8 @@
         generate(coordinator.dispatch(List.of(engine("e", 0, 4, 0)), "z", now).get(0)).attempt();
     coordinator.onSegment(attempt, tokens("e", 0, 1));
     coordinator.onTrainerVersion(STALENESS_BOUND + 1L, now);
-    assertThat(coordinator.cancelOverAge(), equalTo(List.of(new RunAction.Cancel(attempt))));
+    assertThat(
+        coordinator.cancelStaleGenerations(), equalTo(List.of(new RunAction.Cancel(attempt))));
     assertThat(coordinator.discardedTokens(), equalTo(1L));
   }
 
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -223,7 +223,7 @@
       return;
     }
     renewIfDue();
-    carryOut(coordinator.cancelOverAge());
+    carryOut(coordinator.cancelStaleGenerations());
     generations.failStalled();
     dispatch();
     commitReady();
