--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -114,7 +114,7 @@
       delayMillis = Math.min(MAX_LOADING_BACKOFF_MILLIS, 2 * last.delayMillis());
     }
     long loadedAtMillis =
-        newest.map(version -> version.namedAtMillis() + EXPECTED_LOAD_MILLIS).orElse(nowMillis);
+        newest.map(version -> version.announcedAtMillis() + EXPECTED_LOAD_MILLIS).orElse(nowMillis);
     long untilMillis = Math.max(nowMillis + delayMillis, loadedAtMillis);
     backoffs.put(key, new Backoff(heldVersion, delayMillis, untilMillis));
   }
