--- a/core/src/main/java/org/passhaven/core/job/NamedVersion.java
+++ b/core/src/main/java/org/passhaven/core/job/AnnouncedVersion.java
@@ -5,7 +5,7 @@
  *
  * @param announcedAtMillis time at which this node read the announcement, in monotonic milliseconds
  */
-public record NamedVersion(long version, long announcedAtMillis) {
+public record AnnouncedVersion(long version, long announcedAtMillis) {
   private static final long USUAL_LOAD_MILLIS = 1_200;
 
   /** Returns whether a server that holds {@code heldVersion} should have loaded this version. */
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -195,7 +195,7 @@
    * @param newest newest weight version by model
    */
   public List<JobAction> decide(
-      Collection<ServerEntry> servers, Map<String, NamedVersion> newest, long nowMillis) {
+      Collection<ServerEntry> servers, Map<String, AnnouncedVersion> newest, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
     ReadyServers ready = new ReadyServers(servers, newest);
     picker.beginRound(ready, nowMillis);
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -18,9 +18,9 @@
 final class ReadyServers {
   private final Map<ServerStart, ServerEntry> byStart = new LinkedHashMap<>();
   private final Map<String, List<ServerEntry>> byService;
-  private final Map<String, NamedVersion> announcedVersions;
+  private final Map<String, AnnouncedVersion> announcedVersions;
 
-  ReadyServers(Collection<ServerEntry> servers, Map<String, NamedVersion> named) {
+  ReadyServers(Collection<ServerEntry> servers, Map<String, AnnouncedVersion> named) {
     this.announcedVersions = Objects.requireNonNull(named, "named");
     servers.stream()
         .filter(ServerEntry::ready)
@@ -54,7 +54,7 @@
 
   /** Returns the newest announced weight version of a model; zero if there is none. */
   long newestVersionOf(String model) {
-    NamedVersion newest = announcedVersions.get(model);
+    AnnouncedVersion newest = announcedVersions.get(model);
     return newest == null ? 0 : newest.version();
   }
 
@@ -64,21 +64,21 @@
   }
 
   /** Returns the newest announced version of a model if a server does not hold it. */
-  Optional<NamedVersion> missingVersion(ServerEntry server, String model) {
+  Optional<AnnouncedVersion> missingVersion(ServerEntry server, String model) {
     return lacksNewestWeights(server, model)
         ? Optional.of(announcedVersions.get(model))
         : Optional.empty();
   }
 
   /** Returns the newest version of a model if a server is expected to load it soon. */
-  Optional<NamedVersion> versionToLoad(ServerEntry server, String model, long nowMillis) {
+  Optional<AnnouncedVersion> versionToLoad(ServerEntry server, String model, long nowMillis) {
     return missingVersion(server, model)
         .filter(newest -> !newest.isOverdueAt(server.versionOf(model), nowMillis));
   }
 
   /** Returns whether a server should have loaded newer weights of a model by now. */
   boolean hasOverdueWeights(ServerEntry server, String model, long nowMillis) {
-    NamedVersion newest = announcedVersions.get(model);
+    AnnouncedVersion newest = announcedVersions.get(model);
     return newest != null && newest.isOverdueAt(server.versionOf(model), nowMillis);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -99,7 +99,7 @@
       ServerStart start,
       String model,
       long heldVersion,
-      Optional<NamedVersion> newest,
+      Optional<AnnouncedVersion> newest,
       long nowMillis) {
     Key key = new Key(start, model);
     accepted.remove(key);
@@ -131,7 +131,8 @@
    *
    * @param newest newest weight version of the model, if the server is about to load it
    */
-  boolean maySend(ServerEntry server, String model, Optional<NamedVersion> newest, long nowMillis) {
+  boolean maySend(
+      ServerEntry server, String model, Optional<AnnouncedVersion> newest, long nowMillis) {
     Key key = new Key(server.start(), model);
     boolean isRefusing = isRefusing(server, model);
     if (isRefusing && nowMillis < backoffs.get(key).untilMillis()) {
--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -141,7 +141,7 @@
   @Test
   void serverAboutToLoadGetsOneGenerationAtATime() {
     ReadyServers justAnnounced =
-        new ReadyServers(List.of(FAST, SLOW), Map.of("m", new NamedVersion(2, 0)));
+        new ReadyServers(List.of(FAST, SLOW), Map.of("m", new AnnouncedVersion(2, 0)));
     picker.beginRound(justAnnounced, 20);
     for (String chosen : List.of("fast", "slow")) {
       ItemExecution execution = item(1_000);
@@ -158,7 +158,7 @@
     ServerEntry loaded =
         new ServerEntry(FAST.start(), "llm", "fast:1", "z", 12, true, Map.of("m", 2L));
     picker.beginRound(
-        new ReadyServers(List.of(loaded, SLOW), Map.of("m", new NamedVersion(2, 0))), 890);
+        new ReadyServers(List.of(loaded, SLOW), Map.of("m", new AnnouncedVersion(2, 0))), 890);
     assertThat(picker.choose(item(1_000), 890), equalTo(Optional.of(loaded)));
   }
 
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -54,7 +54,7 @@
   private final Map<String, FakeModelServer> servers = new TreeMap<>();
   private final List<SimulatedOwner> owners = new ArrayList<>();
   private final VersionOrderPlanner planner = new VersionOrderPlanner(new LoadLimit(2, 0.3));
-  final Map<String, NamedVersion> announcedVersions = new HashMap<>();
+  final Map<String, AnnouncedVersion> announcedVersions = new HashMap<>();
   private final boolean loadsWeights;
   private long now;
   private long nextTaskSequence;
@@ -190,7 +190,7 @@
 
   void announceVersion(String model, long version) {
     if (loadsWeights) {
-      announcedVersions.put(model, new NamedVersion(version, now));
+      announcedVersions.put(model, new AnnouncedVersion(version, now));
     }
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -12,7 +12,7 @@
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerStart;
 import org.passhaven.core.backend.ServerTable;
-import org.passhaven.core.job.NamedVersion;
+import org.passhaven.core.job.AnnouncedVersion;
 import org.passhaven.core.route.RouteTable;
 import org.passhaven.node.follow.TableFollower;
 import org.passhaven.node.gateway.PlatformDocuments.DocumentException;
@@ -39,7 +39,7 @@
   private final GatewayContext context;
   private final PlatformDocuments documents;
   private final ServerTable servers = new ServerTable();
-  private final Map<String, NamedVersion> announcedVersions = new HashMap<>();
+  private final Map<String, AnnouncedVersion> announcedVersions = new HashMap<>();
   private final List<Runnable> listeners = new ArrayList<>();
   private final TableFollower operator;
   private final TableFollower serverEntries;
@@ -133,7 +133,7 @@
   }
 
   /** Returns the newest announced weight version of each model. */
-  public Map<String, NamedVersion> announcedVersions() {
+  public Map<String, AnnouncedVersion> announcedVersions() {
     return announcedVersions;
   }
 
@@ -198,9 +198,9 @@
     }
 
     private void onVersionAnnounced(String model, long version) {
-      NamedVersion before = announcedVersions.get(model);
+      AnnouncedVersion before = announcedVersions.get(model);
       if (before == null || version > before.version()) {
-        announcedVersions.put(model, new NamedVersion(version, context.nowMillis()));
+        announcedVersions.put(model, new AnnouncedVersion(version, context.nowMillis()));
         LOG.atInfo()
             .addKeyValue("model", model)
             .addKeyValue("version", version)
