--- a/core/src/main/java/org/passhaven/core/job/ItemHistory.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemHistory.java
@@ -9,7 +9,7 @@
  * @param group group of the item
  * @param step step of its job
  * @param acceptedAtMillis time at which the job's acceptance was read
- * @param firstBegunAtMillis time at which its first generation was started
+ * @param firstStartedAtMillis time at which its first generation was started
  * @param wholeAtMillis time at which its text was complete
  * @param events number of events of its text
  * @param attempts number of generations started
@@ -20,7 +20,7 @@
     String group,
     long step,
     long acceptedAtMillis,
-    long firstBegunAtMillis,
+    long firstStartedAtMillis,
     long wholeAtMillis,
     long events,
     int attempts,
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -153,7 +153,7 @@
         .addKeyValue("item", item)
         .addKeyValue("group", history.group())
         .addKeyValue("step", history.step())
-        .addKeyValue("begunAfterMillis", history.firstBegunAtMillis() - accepted)
+        .addKeyValue("begunAfterMillis", history.firstStartedAtMillis() - accepted)
         .addKeyValue("wholeAfterMillis", history.wholeAtMillis() - accepted)
         .addKeyValue("listedAfterMillis", context.nowMillis() - accepted)
         .addKeyValue("events", history.events())
