--- a/core/src/main/java/org/passhaven/core/job/ItemHistory.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemHistory.java
@@ -10,7 +10,7 @@
  * @param step step of its job
  * @param acceptedAtMillis time at which the job's acceptance was read
  * @param firstStartedAtMillis time at which its first generation was started
- * @param wholeAtMillis time at which its text was complete
+ * @param textCompletedAtMillis time at which its text was complete
  * @param events number of events of its text
  * @param attempts number of generations started
  * @param moves number of generations that were moved to another server
@@ -21,7 +21,7 @@
     long step,
     long acceptedAtMillis,
     long firstStartedAtMillis,
-    long wholeAtMillis,
+    long textCompletedAtMillis,
     long events,
     int attempts,
     int moves,
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -154,7 +154,7 @@
         .addKeyValue("group", history.group())
         .addKeyValue("step", history.step())
         .addKeyValue("begunAfterMillis", history.firstStartedAtMillis() - accepted)
-        .addKeyValue("wholeAfterMillis", history.wholeAtMillis() - accepted)
+        .addKeyValue("wholeAfterMillis", history.textCompletedAtMillis() - accepted)
         .addKeyValue("listedAfterMillis", context.nowMillis() - accepted)
         .addKeyValue("events", history.events())
         .addKeyValue("attempts", history.attempts())
