--- a/core/src/main/java/org/passhaven/core/job/ItemText.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemText.java
@@ -83,7 +83,7 @@
    * Splits a part between events into pieces of at most {@code maxChars} characters, unless a
    * single event is longer. Each event counts {@code eventChars} more than its length.
    */
-  public static List<TextPart> cut(TextPart part, long maxChars, int eventChars) {
+  public static List<TextPart> split(TextPart part, long maxChars, int eventChars) {
     List<TextPart> pieces = new ArrayList<>();
     int from = 0;
     long chars = 0;
--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -204,7 +204,7 @@
     long maxBytes = context.settings().maxRecordBytes() / RECORD_FILL_DIVISOR;
     List<TextPart> pieces =
         parts.stream()
-            .flatMap(part -> ItemText.cut(part, maxBytes, EVENT_OVERHEAD_BYTES).stream())
+            .flatMap(part -> ItemText.split(part, maxBytes, EVENT_OVERHEAD_BYTES).stream())
             .toList();
     for (TextPart part : pieces) {
       long partBytes = sizeBytes(part);
