--- a/core/src/main/java/org/passhaven/core/job/Job.java
+++ b/core/src/main/java/org/passhaven/core/job/Job.java
@@ -17,7 +17,7 @@
   private final Map<String, JobItem> items = new HashMap<>();
   private final List<ItemFinished> results = new ArrayList<>();
   private final Map<String, Integer> positionByItem = new HashMap<>();
-  private boolean ended;
+  private boolean isEnded;
 
   Job(JobSubmission submission, long acceptedAtMillis) {
     this.submission = Objects.requireNonNull(submission, "submission");
@@ -35,8 +35,8 @@
   }
 
   boolean markEnded() {
-    boolean isFirstEnd = !ended;
-    ended = true;
+    boolean isFirstEnd = !isEnded;
+    isEnded = true;
     return isFirstEnd;
   }
 
@@ -71,13 +71,13 @@
   }
 
   /** Returns whether the caller ended the job. */
-  public boolean ended() {
-    return ended;
+  public boolean isEnded() {
+    return isEnded;
   }
 
   /** Returns whether the job has not ended and has items without a result. */
   public boolean isOpen() {
-    return !ended && openItems() > 0;
+    return !isEnded && openItems() > 0;
   }
 
   /** Returns the number of items without a result. */
--- a/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DurableAppend.java
@@ -88,7 +88,7 @@
 
   private boolean hasTakenEffect() {
     Job job = log.table().get(change.job());
-    return job != null && (change.expectedEffect() == JobTable.Effect.ACCEPTED || job.ended());
+    return job != null && (change.expectedEffect() == JobTable.Effect.ACCEPTED || job.isEnded());
   }
 
   private void appendNextBatch() {
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -116,7 +116,7 @@
               if (job == null) {
                 return Uni.createFrom().item(notFoundOrUnavailable(id, isTableCurrent));
               }
-              if (job.ended()) {
+              if (job.isEnded()) {
                 return Uni.createFrom().item(new JobOutcome.Done());
               }
               JobRecord record = new JobRecord.JobEnded(id);
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextPrefetcher.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextPrefetcher.java
@@ -67,7 +67,7 @@
   void onResultRecorded(String id) {
     ReadState state = statesByJob.get(id);
     Job job = log.table().get(id);
-    boolean mayRead = state != null && !state.reading && job != null && !job.ended();
+    boolean mayRead = state != null && !state.reading && job != null && !job.isEnded();
     if (mayRead && state.nextPosition < job.results().size()) {
       readTexts(job, state);
     }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -278,7 +278,7 @@
     assertThat(seen, hasSize(4));
     assertThat(seen, everyItem(equalTo(new JobOutcome.NotFound())));
     assertThat(ask(service.read("one", "t", 0, 0)).get(0), instanceOf(JobOutcome.Results.class));
-    assertThat(jobLog.table().get("t").ended(), is(false));
+    assertThat(jobLog.table().get("t").isEnded(), is(false));
   }
 
   @Test
@@ -307,7 +307,7 @@
     log.appends = MemoryLog.Manner.SOUND;
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
     timers.advance(100);
-    assertThat(jobLog.table().get("j").ended(), is(true));
+    assertThat(jobLog.table().get("j").isEnded(), is(true));
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
   }
 }
