--- a/core/src/main/java/org/passhaven/core/job/Job.java
+++ b/core/src/main/java/org/passhaven/core/job/Job.java
@@ -77,11 +77,11 @@
 
   /** Returns whether the job has not ended and has items without a result. */
   public boolean isOpen() {
-    return !isEnded && openItems() > 0;
+    return !isEnded && openItemCount() > 0;
   }
 
   /** Returns the number of items without a result. */
-  public int openItems() {
+  public int openItemCount() {
     return items.size() - positionByItem.size();
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -281,7 +281,7 @@
   public Map<String, Integer> openItemsByModel() {
     Map<String, Integer> open = new HashMap<>();
     for (Job job : table.open()) {
-      open.merge(job.submission().model(), job.openItems(), Integer::sum);
+      open.merge(job.submission().model(), job.openItemCount(), Integer::sum);
     }
     return open;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -271,7 +271,7 @@
 
   /** Refreshes a job. Returns whether all results in the log at the time of the call are known. */
   private Uni<Boolean> refreshWithTimeout(Job job) {
-    boolean isComplete = job.openItems() == 0;
+    boolean isComplete = job.openItemCount() == 0;
     return isComplete
         ? Uni.createFrom().item(true)
         : withTimeout(log.refresh(job.submission().run()));
