--- a/core/src/main/java/org/passhaven/core/job/JobAction.java
+++ b/core/src/main/java/org/passhaven/core/job/JobAction.java
@@ -24,7 +24,7 @@
       implements JobAction {}
 
   /** Close a generation's connection; its later events are ignored. */
-  record Stop(long attempt, String why) implements JobAction {}
+  record Stop(long attempt, String reason) implements JobAction {}
 
   /** Send the request that scores an item's text. */
   record Score(JobSubmission job, JobItem item) implements JobAction {}
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -136,7 +136,7 @@
             (int) start.lastEvent(),
             eventsByItem.get(start.item().id()));
       } else if (action instanceof JobAction.Stop stop) {
-        simulation.onStopped(stop.why());
+        simulation.onStopped(stop.reason());
         FakeModelServer.ServerGeneration generation = generations.remove(stop.attempt());
         generation.generation.modelServer().stop(generation);
       } else if (action instanceof JobAction.Finish finish) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -284,10 +284,10 @@
     Cancellable generation = generations.remove(stop.attempt());
     if (generation != null) {
       generation.cancel();
-      context.metrics().onGenerationStopped(stop.why());
+      context.metrics().onGenerationStopped(stop.reason());
       LOG.atInfo()
           .addKeyValue("attempt", stop.attempt())
-          .addKeyValue("why", stop.why())
+          .addKeyValue("why", stop.reason())
           .log("job: generation stopped");
     }
     scheduleDecision();
