--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -109,7 +109,7 @@
    *
    * @param texts texts that an earlier owner saved in the log
    */
-  public void take(Job job, JobPolicy policy, TextTable texts) {
+  public void startOrUpdate(Job job, JobPolicy policy, TextTable texts) {
     JobExecution running = jobs.get(job.id());
     if (running != null) {
       running.policy = policy;
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -69,7 +69,7 @@
 
   @Test
   void completeTextIsScoredAndThenFinished() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 40);
@@ -88,7 +88,7 @@
     Set<String> heldItems = new HashSet<>(Set.of("x"));
     JobScheduler gated = new JobScheduler("n", "z", (job, item) -> !heldItems.contains(item.id()));
     List<ServerEntry> servers = List.of(server("a", 1));
-    gated.take(
+    gated.startOrUpdate(
         job("j", 0, 1, item("x", "g", 9, false), item("y", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     List<JobAction.Start> first = startActions(gated.decide(servers, NO_ANNOUNCED_VERSIONS, 0));
     assertThat(first.stream().map(start -> start.item().id()).toList(), contains("y"));
@@ -102,7 +102,7 @@
     boolean[] isHeldByGate = new boolean[1];
     JobScheduler gated = new JobScheduler("n", "z", (job, item) -> !isHeldByGate[0]);
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
-    gated.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    gated.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = startActions(gated.decide(servers, NO_ANNOUNCED_VERSIONS, 0)).get(0).attempt();
     gated.onBegan(attempt, 1, 5);
     gated.onEvent(attempt, 1, 0, "one", 10);
@@ -119,7 +119,7 @@
 
   @Test
   void scoreIsRequestedAgainAfterItsPause() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
@@ -134,7 +134,7 @@
   @Test
   void lostGenerationContinuesAfterItsLastEventAtAnotherServer() {
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     JobAction.Start first = decideSingleStart(servers, 0);
     scheduler.onBegan(first.attempt(), 1, 5);
     sendEvents(first.attempt(), 1, 3, 10);
@@ -146,7 +146,7 @@
 
   @Test
   void eventOutOfOrderStopsTheGeneration() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
@@ -156,7 +156,7 @@
 
   @Test
   void serversWithTooOldWeightsGetNoGenerations() {
-    scheduler.take(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(scheduler.decide(List.of(server("a", 4)), NO_ANNOUNCED_VERSIONS, 0), empty());
     assertThat(
         decideSingleStart(List.of(server("a", 4), server("b", 5)), 1).server().start().id(),
@@ -173,7 +173,7 @@
       item("z", "i", 1, false),
       item("w", "k", 0, false)
     };
-    scheduler.take(job("j", 0, 4, items), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 4, items), POLICY, NO_SAVED_TEXTS);
     List<String> chosen =
         startActions(scheduler.decide(servers, announced, 2_000)).stream()
             .map(start -> start.server().start().id())
@@ -185,7 +185,7 @@
   void allowedOlderWeightsAreUsedWhileNewOnesAreLoading() {
     List<ServerEntry> servers = List.of(server("a", 4), server("b", 5));
     Map<String, AnnouncedVersion> announced = Map.of("m", new AnnouncedVersion(5, 0));
-    scheduler.take(
+    scheduler.startOrUpdate(
         job("j", 0, 4, item("x", "g", 2, false), item("y", "h", 1, false)), POLICY, NO_SAVED_TEXTS);
     List<String> chosen =
         startActions(scheduler.decide(servers, announced, 100)).stream()
@@ -197,7 +197,7 @@
   @Test
   void refusingServerGetsOneItemAtATimeUntilItAcceptsOne() {
     List<ServerEntry> servers = List.of(server("a", 1));
-    scheduler.take(
+    scheduler.startOrUpdate(
         job("j", 0, 1, item("x", "g", 2, false), item("y", "g", 1, false)), POLICY, NO_SAVED_TEXTS);
     List<JobAction.Start> both = startActions(scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 0));
     assertThat(both, hasSize(2));
@@ -210,7 +210,7 @@
 
   @Test
   void textOfATooOldVersionIsRejected() {
-    scheduler.take(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 5)), 0).attempt();
     assertThat(scheduler.onBegan(attempt, 4, 5), contains(instanceOf(JobAction.Stop.class)));
     assertThat(scheduler.onEvent(attempt, 1, 0, "late", 6), empty());
@@ -219,7 +219,7 @@
   @Test
   void singleVersionRouteRestartsTheTextWhenTheVersionChanges() {
     JobPolicy single = new JobPolicy("llm", 3, true, 0, 0);
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), single, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), single, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
@@ -231,7 +231,7 @@
   @Test
   void itemFailsAfterTheMaximumNumberOfServerErrors() {
     List<ServerEntry> servers = List.of(server("a", 1));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long now = 0;
     for (int error = 1; error <= 3; error++) {
       long attempt = decideSingleStart(servers, now).attempt();
@@ -244,7 +244,7 @@
 
   @Test
   void itemWithAPermanentErrorFailsImmediately() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     List<JobAction> actions = scheduler.onFailed(attempt, Failure.IMPOSSIBLE, 1);
     assertThat(((JobAction.Finish) actions.get(0)).result().completed(), is(false));
@@ -253,7 +253,7 @@
   @Test
   void stalledGenerationContinuesAtAnotherServer() {
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     JobAction.Start first = decideSingleStart(servers, 0);
     scheduler.onBegan(first.attempt(), 1, 5);
     sendEvents(first.attempt(), 1, 2, 10);
@@ -267,25 +267,25 @@
   @Test
   void textOfAnEndedJobIsReusedByALaterJobThatAllowsItsVersions() {
     List<ServerEntry> servers = List.of(server("a", 3));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
     assertThat(scheduler.drop("j", "ended"), contains(instanceOf(JobAction.Stop.class)));
-    scheduler.take(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(decideSingleStart(servers, 500).lastEvent(), equalTo(4L));
   }
 
   @Test
   void completeCachedTextIsScoredWithoutAServer() {
     List<ServerEntry> servers = List.of(server("a", 3));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
     scheduler.onWhole(attempt, 200);
     scheduler.drop("j", "ended");
-    scheduler.take(job("k", 1, 3, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     assertThat(
         scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 500),
         contains(instanceOf(JobAction.Score.class)));
@@ -294,7 +294,7 @@
   @Test
   void continuationAfterTheLastEventCompletesWithoutAVersion() {
     List<ServerEntry> servers = List.of(server("a", 3));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long first = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(first, 3, 5);
     sendEvents(first, 1, 4, 10);
@@ -306,7 +306,7 @@
 
   @Test
   void eventOfAnUnknownVersionIsRejected() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 3)), 0).attempt();
     scheduler.onBegan(attempt, 0, 5);
     assertThat(
@@ -316,12 +316,12 @@
   @Test
   void cachedTextOfTooOldVersionsIsNotUsed() {
     List<ServerEntry> servers = List.of(server("a", 3));
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(attempt, 2, 5);
     sendEvents(attempt, 1, 4, 10);
     scheduler.drop("j", "ended");
-    scheduler.take(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(decideSingleStart(servers, 500).lastEvent(), equalTo(0L));
   }
 
@@ -329,7 +329,7 @@
   void newOwnerContinuesTheTextOfThePreviousOwner() {
     List<ServerEntry> servers = List.of(server("a", 1));
     Job job = job("j", 0, 1, item("x", "g", 0, true), item("y", "g", 0, true));
-    scheduler.take(job, POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job, POLICY, NO_SAVED_TEXTS);
     List<JobAction.Start> started =
         startActions(scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 0));
     for (JobAction.Start start : started) {
@@ -340,7 +340,7 @@
     TextTable savedTexts = new TextTable("m");
     savedTexts.apply(new TextRecord("m", 1, 1, scheduler.takeUnsavedTexts("m")));
     JobScheduler newOwner = new JobScheduler("z");
-    newOwner.take(job, POLICY, savedTexts);
+    newOwner.startOrUpdate(job, POLICY, savedTexts);
     List<JobAction> actions = newOwner.decide(servers, NO_ANNOUNCED_VERSIONS, 300);
     assertThat(
         actions,
@@ -350,7 +350,7 @@
 
   @Test
   void onlyUnsavedEventsAreTakenForTheLog() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     sendEvents(attempt, 1, 2, 10);
@@ -369,7 +369,7 @@
     for (int i = 0; i < 9; i++) {
       items.add(item("x" + i, "g" + i, 0, false));
     }
-    scheduler.take(job("j", 0, 1, items.toArray(JobItem[]::new)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, items.toArray(JobItem[]::new)), POLICY, NO_SAVED_TEXTS);
     List<JobAction.Start> started =
         startActions(
             scheduler.decide(List.of(server("a", 1), server("b", 1)), NO_ANNOUNCED_VERSIONS, 0));
@@ -380,8 +380,8 @@
 
   @Test
   void longestGroupOfTheLowestStepStartsFirst() {
-    scheduler.take(job("later", 2, 1, item("z", "g", 999, false)), POLICY, NO_SAVED_TEXTS);
-    scheduler.take(
+    scheduler.startOrUpdate(job("later", 2, 1, item("z", "g", 999, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(
         job("now", 1, 1, item("short", "g1", 10, false), item("long", "g2", 500, false)),
         POLICY,
         NO_SAVED_TEXTS);
@@ -394,7 +394,7 @@
 
   @Test
   void resultOfAnotherNodeStopsTheGeneration() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     decideSingleStart(List.of(server("a", 1)), 0);
     assertThat(scheduler.onListed("j", "x"), contains(instanceOf(JobAction.Stop.class)));
     assertThat(scheduler.isRunning("j"), is(false));
@@ -402,7 +402,7 @@
 
   @Test
   void failedScoreIsRetriedUntilTheMaximumNumberOfErrors() {
-    scheduler.take(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
+    scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onBegan(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -93,7 +93,7 @@
             simulation.oldestVersion(step),
             awaitedGroups,
             items);
-    scheduler.take(new Job(submission, simulation.now()), POLICY, new TextTable(model));
+    scheduler.startOrUpdate(new Job(submission, simulation.now()), POLICY, new TextTable(model));
     decide();
   }
 
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -44,7 +44,7 @@
     for (int i = 0; i < 4; i++) {
       items.add(new JobItem("x" + i, "/p/" + i, List.of(), new byte[0], "g" + i, 20, null));
     }
-    scheduler.take(
+    scheduler.startOrUpdate(
         new Job(new JobSubmission("j", "h", "/p/", "", "m", "m", 0, 1, 1, items), 0),
         POLICY,
         new TextTable("m"));
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -221,7 +221,7 @@
     if (inheritedTexts.isEmpty()) {
       return;
     }
-    scheduler.take(job, policy.get(), inheritedTexts.get());
+    scheduler.startOrUpdate(job, policy.get(), inheritedTexts.get());
     if (!isRunning) {
       LOG.atInfo()
           .addKeyValue("job", job.id())
