--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -140,7 +140,7 @@
   }
 
   /** Stops a job that has ended or has another owner, and caches its unfinished texts. */
-  public List<JobAction> drop(String job, String why) {
+  public List<JobAction> stopJob(String job, String why) {
     List<JobAction> actions = new ArrayList<>();
     JobExecution jobExecution = jobs.remove(job);
     if (jobExecution == null) {
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -271,7 +271,7 @@
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
-    assertThat(scheduler.drop("j", "ended"), contains(instanceOf(JobAction.Stop.class)));
+    assertThat(scheduler.stopJob("j", "ended"), contains(instanceOf(JobAction.Stop.class)));
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(decideSingleStart(servers, 500).lastEvent(), equalTo(4L));
   }
@@ -284,7 +284,7 @@
     scheduler.onBegan(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
     scheduler.onWhole(attempt, 200);
-    scheduler.drop("j", "ended");
+    scheduler.stopJob("j", "ended");
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     assertThat(
         scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 500),
@@ -320,7 +320,7 @@
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onBegan(attempt, 2, 5);
     sendEvents(attempt, 1, 4, 10);
-    scheduler.drop("j", "ended");
+    scheduler.stopJob("j", "ended");
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(decideSingleStart(servers, 500).lastEvent(), equalTo(0L));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -169,7 +169,7 @@
           .addKeyValue("job", job)
           .addKeyValue("why", reason)
           .log("job: run no longer here");
-      apply(scheduler.drop(job, reason));
+      apply(scheduler.stopJob(job, reason));
     }
   }
 
