--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -100,7 +100,7 @@
   }
 
   /** Returns the ids of the jobs that this node runs. */
-  public List<String> running() {
+  public List<String> runningJobs() {
     return jobs.ids();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -108,7 +108,7 @@
     runClaimer.stop();
     stopped = true;
     Uni<Void> saved = saveAllTexts();
-    scheduler.running().forEach(job -> drop(job, "stopping"));
+    scheduler.runningJobs().forEach(job -> drop(job, "stopping"));
     return saved;
   }
 
@@ -127,7 +127,7 @@
 
   /** Returns the number of jobs that this node runs. */
   public int runningJobCount() {
-    return scheduler.running().size();
+    return scheduler.runningJobs().size();
   }
 
   private void onRecord(JobRecord.OfJob record, JobTable.Effect effect) {
