--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -285,7 +285,7 @@
   }
 
   /** Handles the acceptance of a generation; {@code version} is zero if the server sent none. */
-  public List<JobAction> onBegan(long attempt, long version, long nowMillis) {
+  public List<JobAction> onAccepted(long attempt, long version, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
     ItemExecution execution = generating.get(attempt);
     if (execution != null && !execution.accepted) {
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -71,7 +71,7 @@
   void completeTextIsScoredAndThenFinished() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 40);
     scheduler.onEvent(attempt, 2, 2, "two", 70);
     assertThat(scheduler.onWhole(attempt, 71), contains(instanceOf(JobAction.Score.class)));
@@ -104,7 +104,7 @@
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
     gated.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = startActions(gated.decide(servers, NO_ANNOUNCED_VERSIONS, 0)).get(0).attempt();
-    gated.onBegan(attempt, 1, 5);
+    gated.onAccepted(attempt, 1, 5);
     gated.onEvent(attempt, 1, 0, "one", 10);
     gated.onFailed(attempt, Failure.CUT, 20);
     isHeldByGate[0] = true;
@@ -121,7 +121,7 @@
   void scoreIsRequestedAgainAfterItsPause() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
     scheduler.onWhole(attempt, 20);
     assertThat(scheduler.onScoreFailed("j", "x", 0, 4, 4_000, 30), empty());
@@ -136,7 +136,7 @@
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     JobAction.Start first = decideSingleStart(servers, 0);
-    scheduler.onBegan(first.attempt(), 1, 5);
+    scheduler.onAccepted(first.attempt(), 1, 5);
     sendEvents(first.attempt(), 1, 3, 10);
     scheduler.onFailed(first.attempt(), Failure.CUT, 120);
     JobAction.Start second = decideSingleStart(servers, 200);
@@ -148,7 +148,7 @@
   void eventOutOfOrderStopsTheGeneration() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
     assertThat(
         scheduler.onEvent(attempt, 3, 0, "three", 20), contains(instanceOf(JobAction.Stop.class)));
@@ -204,7 +204,7 @@
     both.forEach(start -> scheduler.onFailed(start.attempt(), Failure.REFUSED, 10));
     JobAction.Start probe = decideSingleStart(servers, 200);
     assertThat(scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 300), empty());
-    scheduler.onBegan(probe.attempt(), 1, 310);
+    scheduler.onAccepted(probe.attempt(), 1, 310);
     decideSingleStart(servers, 320);
   }
 
@@ -212,7 +212,7 @@
   void textOfATooOldVersionIsRejected() {
     scheduler.startOrUpdate(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 5)), 0).attempt();
-    assertThat(scheduler.onBegan(attempt, 4, 5), contains(instanceOf(JobAction.Stop.class)));
+    assertThat(scheduler.onAccepted(attempt, 4, 5), contains(instanceOf(JobAction.Stop.class)));
     assertThat(scheduler.onEvent(attempt, 1, 0, "late", 6), empty());
   }
 
@@ -221,7 +221,7 @@
     JobPolicy single = new JobPolicy("llm", 3, true, 0, 0);
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), single, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
     assertThat(
         scheduler.onEvent(attempt, 2, 2, "two", 20), contains(instanceOf(JobAction.Stop.class)));
@@ -255,7 +255,7 @@
     List<ServerEntry> servers = List.of(server("a", 1), server("b", 1));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     JobAction.Start first = decideSingleStart(servers, 0);
-    scheduler.onBegan(first.attempt(), 1, 5);
+    scheduler.onAccepted(first.attempt(), 1, 5);
     sendEvents(first.attempt(), 1, 2, 10);
     List<JobAction> actions = scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 1_000);
     assertThat(actions, contains(instanceOf(JobAction.Stop.class)));
@@ -269,7 +269,7 @@
     List<ServerEntry> servers = List.of(server("a", 3));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
-    scheduler.onBegan(attempt, 3, 5);
+    scheduler.onAccepted(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
     assertThat(scheduler.stopJob("j", "ended"), contains(instanceOf(JobAction.Stop.class)));
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
@@ -281,7 +281,7 @@
     List<ServerEntry> servers = List.of(server("a", 3));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
-    scheduler.onBegan(attempt, 3, 5);
+    scheduler.onAccepted(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
     scheduler.onWhole(attempt, 200);
     scheduler.stopJob("j", "ended");
@@ -296,11 +296,11 @@
     List<ServerEntry> servers = List.of(server("a", 3));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long first = decideSingleStart(servers, 0).attempt();
-    scheduler.onBegan(first, 3, 5);
+    scheduler.onAccepted(first, 3, 5);
     sendEvents(first, 1, 4, 10);
     scheduler.onFailed(first, Failure.CUT, 200);
     long second = decideSingleStart(servers, 500).attempt();
-    assertThat(scheduler.onBegan(second, 0, 505), empty());
+    assertThat(scheduler.onAccepted(second, 0, 505), empty());
     assertThat(scheduler.onWhole(second, 510), contains(instanceOf(JobAction.Finish.class)));
   }
 
@@ -308,7 +308,7 @@
   void eventOfAnUnknownVersionIsRejected() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 3)), 0).attempt();
-    scheduler.onBegan(attempt, 0, 5);
+    scheduler.onAccepted(attempt, 0, 5);
     assertThat(
         scheduler.onEvent(attempt, 1, 0, "one", 10), contains(instanceOf(JobAction.Stop.class)));
   }
@@ -318,7 +318,7 @@
     List<ServerEntry> servers = List.of(server("a", 3));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(servers, 0).attempt();
-    scheduler.onBegan(attempt, 2, 5);
+    scheduler.onAccepted(attempt, 2, 5);
     sendEvents(attempt, 1, 4, 10);
     scheduler.stopJob("j", "ended");
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
@@ -333,7 +333,7 @@
     List<JobAction.Start> started =
         startActions(scheduler.decide(servers, NO_ANNOUNCED_VERSIONS, 0));
     for (JobAction.Start start : started) {
-      scheduler.onBegan(start.attempt(), 1, 5);
+      scheduler.onAccepted(start.attempt(), 1, 5);
       sendEvents(start.attempt(), 1, 3, 10);
     }
     scheduler.onWhole(started.get(1).attempt(), 200);
@@ -352,7 +352,7 @@
   void onlyUnsavedEventsAreTakenForTheLog() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     sendEvents(attempt, 1, 2, 10);
     List<TextPart> first = scheduler.takeUnsavedTexts("m");
     assertThat(scheduler.takeUnsavedTexts("m"), empty());
@@ -404,7 +404,7 @@
   void failedScoreIsRetriedUntilTheMaximumNumberOfErrors() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    scheduler.onBegan(attempt, 1, 5);
+    scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
     scheduler.onWhole(attempt, 20);
     assertThat(scheduler.onScoreFailed("j", "x", 2, 4, 0, 30), empty());
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -183,7 +183,7 @@
       return;
     }
     long version = generation.generation.modelServer().versionOf(model);
-    apply(scheduler.onBegan(attempt, version, simulation.now()));
+    apply(scheduler.onAccepted(attempt, version, simulation.now()));
     apply(scheduler.onEvent(attempt, event, 0, "e", simulation.now()));
   }
 
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -52,7 +52,7 @@
     assertThat(starts.size(), equalTo(4));
     assertThat(serversOf(starts), equalTo(Set.of("a", "b")));
     for (Start start : starts) {
-      scheduler.onBegan(start.attempt(), 1, 5);
+      scheduler.onAccepted(start.attempt(), 1, 5);
       scheduler.onEvent(start.attempt(), 1, 0, "one", 100);
     }
     return starts;
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -337,7 +337,7 @@
   private void onProgress(long attempt, Progress progress) {
     long now = context.nowMillis();
     if (progress instanceof Progress.Began began) {
-      apply(scheduler.onBegan(attempt, began.version(), now));
+      apply(scheduler.onAccepted(attempt, began.version(), now));
     } else if (progress instanceof Progress.Event event) {
       apply(scheduler.onEvent(attempt, event.id(), event.version(), event.data(), now));
     }
