--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -158,7 +158,7 @@
   }
 
   /** Handles an item's result that was read from the log, written by any node. */
-  public List<JobAction> onListed(String job, String item) {
+  public List<JobAction> onResultRecorded(String job, String item) {
     List<JobAction> actions = new ArrayList<>();
     JobExecution jobExecution = jobs.get(job);
     ItemExecution execution = jobExecution == null ? null : jobExecution.items.get(item);
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -396,7 +396,7 @@
   void resultOfAnotherNodeStopsTheGeneration() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     decideSingleStart(List.of(server("a", 1)), 0);
-    assertThat(scheduler.onListed("j", "x"), contains(instanceOf(JobAction.Stop.class)));
+    assertThat(scheduler.onResultRecorded("j", "x"), contains(instanceOf(JobAction.Stop.class)));
     assertThat(scheduler.isRunning("j"), is(false));
   }
 
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -147,7 +147,7 @@
 
   private void onResult(String job, String item) {
     openItemIds.remove(item);
-    apply(scheduler.onListed(job, item));
+    apply(scheduler.onResultRecorded(job, item));
     long step = Long.parseLong(job.substring(job.indexOf('-') + 1));
     String group = item.substring(0, item.lastIndexOf('-'));
     StepProgress progress = steps.get(step);
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -137,7 +137,7 @@
       context.metrics().resultsRecorded.increment();
       results.onResultRecorded(job, item);
       scheduler.historyOf(job.id(), item).ifPresent(history -> logRecordedItem(job, item, history));
-      apply(scheduler.onListed(job.id(), item));
+      apply(scheduler.onResultRecorded(job.id(), item));
     } else if (effect == JobTable.Effect.ENDED) {
       drop(job.id(), "ended");
       results.drop(job.id());
