--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -350,7 +350,7 @@
   }
 
   /** Handles a generation that completed its text. */
-  public List<JobAction> onWhole(long attempt, long nowMillis) {
+  public List<JobAction> onCompleted(long attempt, long nowMillis) {
     List<JobAction> actions = new ArrayList<>();
     ItemExecution execution = generating.get(attempt);
     if (execution == null) {
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -74,7 +74,7 @@
     scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 40);
     scheduler.onEvent(attempt, 2, 2, "two", 70);
-    assertThat(scheduler.onWhole(attempt, 71), contains(instanceOf(JobAction.Score.class)));
+    assertThat(scheduler.onCompleted(attempt, 71), contains(instanceOf(JobAction.Score.class)));
     List<JobAction> actions = scheduler.onScored("j", "x", "sig");
     assertThat(actions, hasSize(1));
     var result = ((JobAction.Finish) actions.get(0)).result();
@@ -123,7 +123,7 @@
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
-    scheduler.onWhole(attempt, 20);
+    scheduler.onCompleted(attempt, 20);
     assertThat(scheduler.onScoreFailed("j", "x", 0, 4, 4_000, 30), empty());
     assertThat(scheduler.decide(List.of(server("a", 1)), NO_ANNOUNCED_VERSIONS, 4_029), empty());
     assertThat(
@@ -283,7 +283,7 @@
     long attempt = decideSingleStart(servers, 0).attempt();
     scheduler.onAccepted(attempt, 3, 5);
     sendEvents(attempt, 1, 4, 10);
-    scheduler.onWhole(attempt, 200);
+    scheduler.onCompleted(attempt, 200);
     scheduler.stopJob("j", "ended");
     scheduler.startOrUpdate(job("k", 1, 3, item("x", "g", 0, true)), POLICY, NO_SAVED_TEXTS);
     assertThat(
@@ -301,7 +301,7 @@
     scheduler.onFailed(first, Failure.CUT, 200);
     long second = decideSingleStart(servers, 500).attempt();
     assertThat(scheduler.onAccepted(second, 0, 505), empty());
-    assertThat(scheduler.onWhole(second, 510), contains(instanceOf(JobAction.Finish.class)));
+    assertThat(scheduler.onCompleted(second, 510), contains(instanceOf(JobAction.Finish.class)));
   }
 
   @Test
@@ -336,7 +336,7 @@
       scheduler.onAccepted(start.attempt(), 1, 5);
       sendEvents(start.attempt(), 1, 3, 10);
     }
-    scheduler.onWhole(started.get(1).attempt(), 200);
+    scheduler.onCompleted(started.get(1).attempt(), 200);
     TextTable savedTexts = new TextTable("m");
     savedTexts.apply(new TextRecord("m", 1, 1, scheduler.takeUnsavedTexts("m")));
     JobScheduler newOwner = new JobScheduler("z");
@@ -406,7 +406,7 @@
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     scheduler.onAccepted(attempt, 1, 5);
     scheduler.onEvent(attempt, 1, 0, "one", 10);
-    scheduler.onWhole(attempt, 20);
+    scheduler.onCompleted(attempt, 20);
     assertThat(scheduler.onScoreFailed("j", "x", 2, 4, 0, 30), empty());
     assertThat(
         scheduler.decide(List.of(server("a", 1)), NO_ANNOUNCED_VERSIONS, 200),
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -189,7 +189,7 @@
 
   void onCompleted(FakeModelServer.ServerGeneration generation) {
     if (generations.remove(generation.generation.attempt()) != null) {
-      apply(scheduler.onWhole(generation.generation.attempt(), simulation.now()));
+      apply(scheduler.onCompleted(generation.generation.attempt(), simulation.now()));
       decideSoon();
     }
   }
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -68,7 +68,7 @@
     attemptsAtOther.forEach(attempt -> scheduler.onEvent(attempt, 2, 0, "two", 700));
     assertThat(decide(800).isEmpty(), is(true));
     assertThat(decide(801).isEmpty(), is(true));
-    attemptsAtOther.forEach(attempt -> scheduler.onWhole(attempt, 810));
+    attemptsAtOther.forEach(attempt -> scheduler.onCompleted(attempt, 810));
     List<Start> restarted = decide(820);
     assertThat(restarted.size(), equalTo(2));
     assertThat(serversOf(restarted), equalTo(Set.of("b")));
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -346,7 +346,7 @@
   private void onCompleted(JobAction.Start start) {
     generations.remove(start.attempt());
     crashGate.onCompleted(start);
-    apply(scheduler.onWhole(start.attempt(), context.nowMillis()));
+    apply(scheduler.onCompleted(start.attempt(), context.nowMillis()));
     scheduleDecision();
   }
 
