--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -45,7 +45,7 @@
     /** The request can never succeed. */
     IMPOSSIBLE,
     /** The server was unreachable, or the connection was lost. */
-    CUT,
+    CONNECTION_LOST,
     /** Several connections were silent at once, so the server is not the likely cause. */
     SILENT
   }
@@ -377,7 +377,7 @@
       case REFUSED -> picker.onRefused(execution, nowMillis);
       case MISDIRECTED ->
           health.avoid(execution.server, MISDIRECTED_SERVER_AVOIDANCE_MILLIS, nowMillis);
-      case CUT -> health.onFailure(execution.server, nowMillis);
+      case CONNECTION_LOST -> health.onFailure(execution.server, nowMillis);
       case SERVER_ERROR -> execution.serverErrors++;
       case IMPOSSIBLE -> finisher.finish(execution, false, "", actions);
       case SILENT -> execution.moves++;
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -106,7 +106,7 @@
     long attempt = startActions(gated.decide(servers, NO_ANNOUNCED_VERSIONS, 0)).get(0).attempt();
     gated.onAccepted(attempt, 1, 5);
     gated.onEvent(attempt, 1, 0, "one", 10);
-    gated.onFailed(attempt, Failure.CUT, 20);
+    gated.onFailed(attempt, Failure.CONNECTION_LOST, 20);
     isHeldByGate[0] = true;
     for (long now = 100; now < 4_000; now += 100) {
       assertThat(gated.decide(servers, NO_ANNOUNCED_VERSIONS, now), empty());
@@ -138,7 +138,7 @@
     JobAction.Start first = decideSingleStart(servers, 0);
     scheduler.onAccepted(first.attempt(), 1, 5);
     sendEvents(first.attempt(), 1, 3, 10);
-    scheduler.onFailed(first.attempt(), Failure.CUT, 120);
+    scheduler.onFailed(first.attempt(), Failure.CONNECTION_LOST, 120);
     JobAction.Start second = decideSingleStart(servers, 200);
     assertThat(second.lastEvent(), equalTo(3L));
     assertThat(second.server().start().id(), not(equalTo(first.server().start().id())));
@@ -298,7 +298,7 @@
     long first = decideSingleStart(servers, 0).attempt();
     scheduler.onAccepted(first, 3, 5);
     sendEvents(first, 1, 4, 10);
-    scheduler.onFailed(first, Failure.CUT, 200);
+    scheduler.onFailed(first, Failure.CONNECTION_LOST, 200);
     long second = decideSingleStart(servers, 500).attempt();
     assertThat(scheduler.onAccepted(second, 0, 505), empty());
     assertThat(scheduler.onCompleted(second, 510), contains(instanceOf(JobAction.Finish.class)));
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -372,7 +372,7 @@
       case MISDIRECTED -> JobScheduler.Failure.MISDIRECTED;
       case SERVER_ERROR -> JobScheduler.Failure.SERVER_ERROR;
       case IMPOSSIBLE -> JobScheduler.Failure.IMPOSSIBLE;
-      case UNREACHABLE, CUT -> JobScheduler.Failure.CUT;
+      case UNREACHABLE, CUT -> JobScheduler.Failure.CONNECTION_LOST;
       case SILENT -> JobScheduler.Failure.SILENT;
     };
   }
