--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -43,7 +43,7 @@
     /** The server answered with an error. */
     SERVER_ERROR,
     /** The request can never succeed. */
-    IMPOSSIBLE,
+    PERMANENT_ERROR,
     /** The server was unreachable, or the connection was lost. */
     CONNECTION_LOST,
     /** Several connections were silent at once, so the server is not the likely cause. */
@@ -379,7 +379,7 @@
           health.avoid(execution.server, MISDIRECTED_SERVER_AVOIDANCE_MILLIS, nowMillis);
       case CONNECTION_LOST -> health.onFailure(execution.server, nowMillis);
       case SERVER_ERROR -> execution.serverErrors++;
-      case IMPOSSIBLE -> finisher.finish(execution, false, "", actions);
+      case PERMANENT_ERROR -> finisher.finish(execution, false, "", actions);
       case SILENT -> execution.moves++;
     }
     if (execution.serverErrors >= execution.jobExecution.policy.maxServerErrors()
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -246,7 +246,7 @@
   void itemWithAPermanentErrorFailsImmediately() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
-    List<JobAction> actions = scheduler.onFailed(attempt, Failure.IMPOSSIBLE, 1);
+    List<JobAction> actions = scheduler.onFailed(attempt, Failure.PERMANENT_ERROR, 1);
     assertThat(((JobAction.Finish) actions.get(0)).result().completed(), is(false));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -371,7 +371,7 @@
       case REFUSED -> JobScheduler.Failure.REFUSED;
       case MISDIRECTED -> JobScheduler.Failure.MISDIRECTED;
       case SERVER_ERROR -> JobScheduler.Failure.SERVER_ERROR;
-      case IMPOSSIBLE -> JobScheduler.Failure.IMPOSSIBLE;
+      case IMPOSSIBLE -> JobScheduler.Failure.PERMANENT_ERROR;
       case UNREACHABLE, CUT -> JobScheduler.Failure.CONNECTION_LOST;
       case SILENT -> JobScheduler.Failure.SILENT;
     };
