--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -47,7 +47,7 @@
     /** The server was unreachable, or the connection was lost. */
     CONNECTION_LOST,
     /** Several connections were silent at once, so the server is not the likely cause. */
-    SILENT
+    CONNECTION_SILENT
   }
 
   private final RunningJobs jobs = new RunningJobs();
@@ -380,7 +380,7 @@
       case CONNECTION_LOST -> health.onFailure(execution.server, nowMillis);
       case SERVER_ERROR -> execution.serverErrors++;
       case PERMANENT_ERROR -> finisher.finish(execution, false, "", actions);
-      case SILENT -> execution.moves++;
+      case CONNECTION_SILENT -> execution.moves++;
     }
     if (execution.serverErrors >= execution.jobExecution.policy.maxServerErrors()
         && execution.phase == ItemExecution.Phase.WAITING) {
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -77,7 +77,7 @@
   @Test
   void silentConnectionDoesNotAvoidItsServer() {
     List<Start> starts = startFourGenerations();
-    starts.forEach(start -> scheduler.onFailed(start.attempt(), Failure.SILENT, 500));
+    starts.forEach(start -> scheduler.onFailed(start.attempt(), Failure.CONNECTION_SILENT, 500));
     List<Start> restarted = decide(540);
     assertThat(restarted.size(), equalTo(4));
     assertThat(serversOf(restarted), equalTo(Set.of("a", "b")));
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -373,7 +373,7 @@
       case SERVER_ERROR -> JobScheduler.Failure.SERVER_ERROR;
       case IMPOSSIBLE -> JobScheduler.Failure.PERMANENT_ERROR;
       case UNREACHABLE, CUT -> JobScheduler.Failure.CONNECTION_LOST;
-      case SILENT -> JobScheduler.Failure.SILENT;
+      case SILENT -> JobScheduler.Failure.CONNECTION_SILENT;
     };
   }
 }
