--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -111,7 +111,7 @@
   }
 
   /** Returns the jobs with items to be run, in order of acceptance. */
-  public Collection<Job> open() {
+  public Collection<Job> openJobs() {
     return openJobs.values();
   }
 
--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -70,7 +70,7 @@
   }
 
   private List<String> open() {
-    return table.open().stream().map(Job::id).toList();
+    return table.openJobs().stream().map(Job::id).toList();
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -145,7 +145,8 @@
   /** Returns whether this node is on standby for a run with open jobs. */
   boolean isStandbyForOpenJobs() {
     return heartbeats != null
-        && table.open().stream().anyMatch(job -> isStandby(partitionOf(job.submission().run())));
+        && table.openJobs().stream()
+            .anyMatch(job -> isStandby(partitionOf(job.submission().run())));
   }
 
   /** Returns whether this node is among the first candidates to take over a run. */
@@ -280,7 +281,7 @@
   /** Returns the number of items without a result in open jobs, by model. */
   public Map<String, Integer> openItemsByModel() {
     Map<String, Integer> open = new HashMap<>();
-    for (Job job : table.open()) {
+    for (Job job : table.openJobs()) {
       open.merge(job.submission().model(), job.openItemCount(), Integer::sum);
     }
     return open;
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -191,7 +191,7 @@
     if (stopped) {
       return;
     }
-    List.copyOf(log.table().open()).stream()
+    List.copyOf(log.table().openJobs()).stream()
         .filter(job -> log.isCaughtUp(job.submission().run()))
         .forEach(this::startOrDrop);
     runClaimer.claimRunsWithoutOpenJobs();
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -45,7 +45,8 @@
   private List<ServerUse> ownReport() {
     logSlow();
     boolean isShared =
-        log.table().open().stream().anyMatch(job -> !log.owners().isOwn(job.submission().run()));
+        log.table().openJobs().stream()
+            .anyMatch(job -> !log.owners().isOwn(job.submission().run()));
     return isShared && log.ownsAnyRun()
         ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.nowMillis())
         : List.of();
