--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -121,7 +121,7 @@
   }
 
   /** Removes jobs that were accepted before {@code beforeMillis} and are not open. */
-  public void forget(long beforeMillis) {
+  public void removeClosedJobs(long beforeMillis) {
     jobs.values().removeIf(job -> job.acceptedAtMillis() < beforeMillis && !job.isOpen());
     knownRuns.clear();
     jobs.values().forEach(job -> knownRuns.add(job.submission().run()));
--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -126,7 +126,7 @@
     table.apply(singlePieceJob("open", 1, "x"), 0);
     table.apply(singlePieceJob("ended", 1, "x"), 0);
     table.apply(new JobEnded("ended"), 0);
-    table.forget(1);
+    table.removeClosedJobs(1);
     assertThat(table.get("ended"), nullValue());
     assertThat(table.get("open").isOpen(), is(true));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -393,6 +393,6 @@
   }
 
   private void removeExpiredJobs() {
-    table.forget(context.nowMillis() - context.settings().jobRetention().toMillis());
+    table.removeClosedJobs(context.nowMillis() - context.settings().jobRetention().toMillis());
   }
 }
