--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -28,7 +28,7 @@
     /** The job was accepted. */
     ACCEPTED,
     /** The result of an item was added. */
-    LISTED,
+    RESULT_RECORDED,
     /** The caller ended the job. */
     ENDED
   }
@@ -55,7 +55,7 @@
     }
     Effect effect;
     if (record instanceof JobRecord.ItemFinished result) {
-      effect = job.addResult(result) ? Effect.LISTED : Effect.IGNORED;
+      effect = job.addResult(result) ? Effect.RESULT_RECORDED : Effect.IGNORED;
     } else {
       effect = job.markEnded() ? Effect.ENDED : Effect.IGNORED;
     }
--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -90,9 +90,9 @@
   @Test
   void firstResultOfAnItemKeepsItsPosition() {
     table.apply(singlePieceJob("j", 1, "x", "y"), 0);
-    assertThat(table.apply(finished("j", "y", "one"), 0), is(Effect.LISTED));
+    assertThat(table.apply(finished("j", "y", "one"), 0), is(Effect.RESULT_RECORDED));
     assertThat(table.apply(finished("j", "y", "two"), 0), is(Effect.IGNORED));
-    assertThat(table.apply(finished("j", "x", "three"), 0), is(Effect.LISTED));
+    assertThat(table.apply(finished("j", "x", "three"), 0), is(Effect.RESULT_RECORDED));
     assertThat(
         table.get("j").results().stream().map(ItemFinished::score).toList(),
         contains("one", "three"));
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -379,7 +379,7 @@
   }
 
   private void logEffect(JobRecord.OfJob record, JobTable.Effect effect) {
-    if (effect == JobTable.Effect.LISTED) {
+    if (effect == JobTable.Effect.RESULT_RECORDED) {
       return;
     }
     Job job = table.get(record.job());
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -132,7 +132,7 @@
 
   private void onRecord(JobRecord.OfJob record, JobTable.Effect effect) {
     Job job = log.table().get(record.job());
-    if (effect == JobTable.Effect.LISTED) {
+    if (effect == JobTable.Effect.RESULT_RECORDED) {
       String item = ((JobRecord.ItemFinished) record).item();
       context.metrics().resultsRecorded.increment();
       results.onResultRecorded(job, item);
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -51,7 +51,7 @@
   }
 
   private void onRecord(JobRecord.OfJob record, JobTable.Effect effect) {
-    if (effect == JobTable.Effect.LISTED) {
+    if (effect == JobTable.Effect.RESULT_RECORDED) {
       prefetcher.onResultRecorded(record.job());
     }
     waiters.runAll(record.job());
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -48,7 +48,7 @@
   void acceptJob() {
     jobLog.addListener(
         (record, effect) -> {
-          if (effect == JobTable.Effect.LISTED) {
+          if (effect == JobTable.Effect.RESULT_RECORDED) {
             writer.onResultRecorded(job(), ((JobRecord.ItemFinished) record).item());
           }
         });
