--- a/core/src/main/java/org/passhaven/core/job/JobTable.java
+++ b/core/src/main/java/org/passhaven/core/job/JobTable.java
@@ -24,7 +24,7 @@
     /** The record is a duplicate, a piece of an incomplete job, or of an unknown job. */
     IGNORED,
     /** All pieces of a job were read and can't be decoded, so that no node can run the job. */
-    UNREADABLE,
+    UNDECODABLE,
     /** The job was accepted. */
     ACCEPTED,
     /** The result of an item was added. */
@@ -101,7 +101,7 @@
       updateOpenJobs(job);
       return Effect.ACCEPTED;
     } catch (CodecException e) {
-      return Effect.UNREADABLE;
+      return Effect.UNDECODABLE;
     }
   }
 
--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -53,7 +53,7 @@
   @Test
   void undecodableJobIsReportedAndNotADuplicate() {
     JobPart undecodable = new JobPart("j", 1, 0, 1, new byte[] {1, 2, 3});
-    assertThat(table.apply(undecodable, 0), is(Effect.UNREADABLE));
+    assertThat(table.apply(undecodable, 0), is(Effect.UNDECODABLE));
     assertThat(table.get("j"), nullValue());
     assertThat(table.apply(singlePieceJob("j", 2, "x"), 0), is(Effect.ACCEPTED));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -370,7 +370,7 @@
     if (effect == JobTable.Effect.IGNORED) {
       return;
     }
-    if (effect == JobTable.Effect.UNREADABLE) {
+    if (effect == JobTable.Effect.UNDECODABLE) {
       LOG.atError().addKeyValue("job", record.job()).log("job: its pieces can't be decoded");
       return;
     }
