--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -105,7 +105,7 @@
   }
 
   /** Returns whether this incarnation of this node owns a run. */
-  public boolean isOwn(String run) {
+  public boolean isOwnedHere(String run) {
     RunTaken owner = owners.get(run);
     return owner != null && owner.node().equals(node) && owner.incarnation() == incarnation;
   }
@@ -117,7 +117,7 @@
 
   /** Returns the runs that this incarnation of this node owns. */
   public List<String> ownRuns() {
-    return owners.keySet().stream().filter(this::isOwn).toList();
+    return owners.keySet().stream().filter(this::isOwnedHere).toList();
   }
 
   /** Returns whether a run's owner is known to have left or restarted. */
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -39,9 +39,9 @@
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
     RunTaken claim = a.claim(run, beats, 0, 0).orElseThrow();
-    assertThat(a.isOwn(run), is(false));
+    assertThat(a.isOwnedHere(run), is(false));
     assertThat(a.apply(claim, 0, 0), is(true));
-    assertThat(a.isOwn(run), is(true));
+    assertThat(a.isOwnedHere(run), is(true));
     assertThat(a.ownRuns(), contains(run));
     assertThat(a.apply(new RunTaken(run, 2, "b", 1, 1), 1, 0), is(true));
     assertThat(a.ownRuns(), empty());
@@ -103,7 +103,7 @@
   void firstOfTwoClaimsInTheLogWins() {
     assertThat(a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0), is(true));
     assertThat(a.apply(new RunTaken("r", 1, "a", 1, 0), 0, 0), is(false));
-    assertThat(a.isOwn("r"), is(false));
+    assertThat(a.isOwnedHere("r"), is(false));
   }
 
   @Test
@@ -121,7 +121,7 @@
     RunTaken renewal = a.renewals(5_000, stream -> 40, 5_000).get(0);
     assertThat(renewal, equalTo(new RunTaken(run, 1, "a", 1, 40)));
     assertThat(a.apply(renewal, 41, 5_010), is(false));
-    assertThat(a.isOwn(run), is(true));
+    assertThat(a.isOwnedHere(run), is(true));
     assertThat(a.renewals(5_000, stream -> 40, 6_000), empty());
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -207,7 +207,7 @@
   private void startOrDrop(Job job) {
     String run = job.submission().run();
     runClaimer.claim(run);
-    boolean isOwner = log.owners().isOwn(run);
+    boolean isOwner = log.owners().isOwnedHere(run);
     boolean isRunning = scheduler.isRunning(job.id());
     if (isRunning && !isOwner) {
       drop(job.id(), "another node runs it");
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -46,7 +46,7 @@
     logSlow();
     boolean isShared =
         log.table().openJobs().stream()
-            .anyMatch(job -> !log.owners().isOwn(job.submission().run()));
+            .anyMatch(job -> !log.owners().isOwnedHere(job.submission().run()));
     return isShared && log.ownsAnyRun()
         ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.nowMillis())
         : List.of();
