--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -88,7 +88,7 @@
    * @param readTo returns the offset up to which a stream was read
    */
   public List<RunTaken> renewals(long renewMillis, ToLongFunction<String> readTo, long nowMillis) {
-    return ownRuns().stream()
+    return ownedRuns().stream()
         .filter(run -> nowMillis - lastClaimReadAtMillis.get(run) >= renewMillis)
         .map(run -> newClaim(run, epochOf(run), readTo.applyAsLong(streamOf.apply(run))))
         .toList();
@@ -116,7 +116,7 @@
   }
 
   /** Returns the runs that this incarnation of this node owns. */
-  public List<String> ownRuns() {
+  public List<String> ownedRuns() {
     return owners.keySet().stream().filter(this::isOwnedHere).toList();
   }
 
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -42,9 +42,9 @@
     assertThat(a.isOwnedHere(run), is(false));
     assertThat(a.apply(claim, 0, 0), is(true));
     assertThat(a.isOwnedHere(run), is(true));
-    assertThat(a.ownRuns(), contains(run));
+    assertThat(a.ownedRuns(), contains(run));
     assertThat(a.apply(new RunTaken(run, 2, "b", 1, 1), 1, 0), is(true));
-    assertThat(a.ownRuns(), empty());
+    assertThat(a.ownedRuns(), empty());
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -362,7 +362,7 @@
 
   private void refreshOwnStreams() {
     ownStreams.clear();
-    owners.ownRuns().forEach(run -> ownStreams.add(streamOf(run)));
+    owners.ownedRuns().forEach(run -> ownStreams.add(streamOf(run)));
   }
 
   private void onJobRecord(JobRecord.OfJob record) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -84,7 +84,7 @@
 
   private void saveTexts() {
     if (!stopped) {
-      List<String> ownRuns = log.owners().ownRuns();
+      List<String> ownRuns = log.owners().ownedRuns();
       texts.retain(ownRuns);
       ownRuns.forEach(run -> texts.save(run).subscribe().with(ignored -> {}));
     }
@@ -113,7 +113,7 @@
   }
 
   private Uni<Void> saveAllTexts() {
-    List<Uni<Void>> saves = log.owners().ownRuns().stream().map(texts::save).toList();
+    List<Uni<Void>> saves = log.owners().ownedRuns().stream().map(texts::save).toList();
     if (saves.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
@@ -196,7 +196,7 @@
         .forEach(this::startOrDrop);
     runClaimer.claimRunsWithoutOpenJobs();
     // Reads the former owner's texts early, since the run's next job may continue them.
-    log.owners().ownRuns().forEach(run -> texts.inheritedTextsOf(run, log.owners().epochOf(run)));
+    log.owners().ownedRuns().forEach(run -> texts.inheritedTextsOf(run, log.owners().epochOf(run)));
     if (scheduler.hasJobs()) {
       apply(
           scheduler.decide(
