--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -121,7 +121,7 @@
   }
 
   /** Returns whether a run's owner is known to have left or restarted. */
-  public boolean isOwnerOver(String run, BeatTable beats) {
+  public boolean isOwnerGone(String run, BeatTable beats) {
     RunTaken owner = owners.get(run);
     return owner != null && beats.isOver(owner.node(), owner.incarnation());
   }
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -89,14 +89,14 @@
   @Test
   void ownerIsGoneOnceALaterIncarnationIsKnown() {
     a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0);
-    assertThat(a.isOwnerOver("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", beats), is(false));
     heartbeat("b", 1, true, 0);
-    assertThat(a.isOwnerOver("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", beats), is(false));
     heartbeat("b", 2, true, 10);
-    assertThat(a.isOwnerOver("r", beats), is(true));
-    assertThat(a.isOwnerOver("nobody's", beats), is(false));
+    assertThat(a.isOwnerGone("r", beats), is(true));
+    assertThat(a.isOwnerGone("nobody's", beats), is(false));
     a.apply(new RunTaken("r", 2, "b", 3, 1), 1, 0);
-    assertThat(a.isOwnerOver("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", beats), is(false));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -42,7 +42,7 @@
   /** Claims a run if this node is its next owner. */
   void claim(String run) {
     boolean isOwnershipKnown =
-        members.isMembershipKnown() || log.owners().isOwnerOver(run, members.heartbeats());
+        members.isMembershipKnown() || log.owners().isOwnerGone(run, members.heartbeats());
     if (stopped || !members.isLogReachable() || !isOwnershipKnown) {
       return;
     }
