--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -50,7 +50,7 @@
    * @param maxOfAll maximum number of servers in the reports of all nodes together
    * @param max maximum number of servers in this report
    */
-  public List<ServerUse> use(int maxOfAll, int max, long nowMillis) {
+  public List<ServerUse> createReport(int maxOfAll, int max, long nowMillis) {
     long limit = Math.max(1, Math.min(max, maxOfAll / (peerReports.reportingNodes() + 1)));
     return health.starts().stream()
         .filter(start -> health.inProgress(start) > 0)
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -116,7 +116,7 @@
     List<ServerUse> report =
         scheduler
             .serverView()
-            .use(MAX_SERVERS_IN_ALL_REPORTS, MAX_REPORTED_SERVERS, simulation.now());
+            .createReport(MAX_SERVERS_IN_ALL_REPORTS, MAX_REPORTED_SERVERS, simulation.now());
     for (SimulatedOwner other : owners) {
       if (other != this) {
         simulation.schedule(
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -48,7 +48,7 @@
         log.table().openJobs().stream()
             .anyMatch(job -> !log.owners().isOwnedHere(job.submission().run()));
     return isShared && log.ownsAnyRun()
-        ? view.use(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.nowMillis())
+        ? view.createReport(MAX_SERVERS_ALL_NODES, MAX_SERVERS_PER_HEARTBEAT, context.nowMillis())
         : List.of();
   }
 
