--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -177,7 +177,7 @@
   /** Returns the cost of a server's load by all nodes, which is higher once its slots are full. */
   private double loadCost(ServerEntry server) {
     int slots = Math.max(1, server.slots());
-    int occupied = view.occupiedSlots(server.start());
+    int occupied = view.slotsInUse(server.start());
     int queued = Math.max(0, occupied + 1 - slots);
     return FULL_SERVER_COST_MILLIS * Math.min(slots, occupied) / slots
         + QUEUED_GENERATION_COST_MILLIS * queued;
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -118,11 +118,11 @@
     double relativeInterval =
         known == null ? 1 : known.sustainedMillis() / known.serviceMedianMillis();
     return new ServerEstimate(
-        occupiedSlots(start), relativeInterval, peerReports.ageMillis(start, nowMillis));
+        slotsInUse(start), relativeInterval, peerReports.ageMillis(start, nowMillis));
   }
 
   /** Returns the number of generations of all nodes at a server. */
-  int occupiedSlots(ServerStart start) {
+  int slotsInUse(ServerStart start) {
     return health.inProgress(start) + peerSlotsByServer.getOrDefault(start, 0);
   }
 
