--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -31,7 +31,7 @@
   private final EventIntervalTracker intervalTracker = new EventIntervalTracker();
   private final ServerUseTable peerReports = new ServerUseTable();
   private final Map<ServerStart, Intervals> intervalsByServer = new HashMap<>();
-  private final Map<ServerStart, Integer> peerSlotsByServer = new HashMap<>();
+  private final Map<ServerStart, Integer> peerSlotsInUse = new HashMap<>();
   private final Set<ServerStart> slow = new HashSet<>();
 
   /** Sustained and recent interval between events of a server, and the median of its service. */
@@ -83,7 +83,7 @@
     health.retain(servers.starts());
     peerReports.forgetExpired(nowMillis);
     intervalsByServer.clear();
-    peerSlotsByServer.clear();
+    peerSlotsInUse.clear();
     slow.clear();
     for (String service : servers.services()) {
       computeIntervals(servers.startsOf(service), nowMillis);
@@ -100,7 +100,7 @@
     Arrays.sort(known);
     double median = known.length == 0 ? DEFAULT_INTERVAL_MILLIS : known[(known.length - 1) / 2];
     for (ServerStart start : starts) {
-      peerSlotsByServer.put(start, (int) Math.round(peerReports.placesTaken(start, nowMillis)));
+      peerSlotsInUse.put(start, (int) Math.round(peerReports.placesTaken(start, nowMillis)));
       double knownMillis = sustained.get(start);
       double sustainedMillis = knownMillis > 0 ? knownMillis : median;
       double recentMillis =
@@ -123,7 +123,7 @@
 
   /** Returns the number of generations of all nodes at a server. */
   int slotsInUse(ServerStart start) {
-    return health.inProgress(start) + peerSlotsByServer.getOrDefault(start, 0);
+    return health.inProgress(start) + peerSlotsInUse.getOrDefault(start, 0);
   }
 
   /** Returns the sustained interval between events of a server; zero if it is not listed. */
