--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -200,7 +200,7 @@
     ReadyServers ready = new ReadyServers(servers, newest);
     picker.beginRound(ready, nowMillis);
     for (JobExecution jobExecution : jobs.byUrgency()) {
-      failExpiredItems(jobExecution, nowMillis, actions);
+      abandonExpiredItems(jobExecution, nowMillis, actions);
       finisher.retryScores(jobExecution, nowMillis, actions);
       int priority = jobs.priorityOf(jobExecution);
       for (ItemExecution execution : jobExecution.itemsToStart(nowMillis)) {
@@ -216,7 +216,7 @@
     return actions;
   }
 
-  private void failExpiredItems(
+  private void abandonExpiredItems(
       JobExecution jobExecution, long nowMillis, List<JobAction> actions) {
     long limitMillis = jobExecution.policy.giveUpMillis();
     if (limitMillis <= 0 || nowMillis - jobExecution.job.acceptedAtMillis() < limitMillis) {
