--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -229,7 +229,7 @@
   }
 
   @Test
-  void itemFailsAfterTheMaximumNumberOfServerErrors() {
+  void itemIsAbandonedAfterTheMaximumNumberOfServerErrors() {
     List<ServerEntry> servers = List.of(server("a", 1));
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long now = 0;
