--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -243,7 +243,7 @@
   }
 
   @Test
-  void itemWithAPermanentErrorFailsImmediately() {
+  void itemWithAPermanentErrorIsAbandonedImmediately() {
     scheduler.startOrUpdate(job("j", 0, 1, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     long attempt = decideSingleStart(List.of(server("a", 1)), 0).attempt();
     List<JobAction> actions = scheduler.onFailed(attempt, Failure.PERMANENT_ERROR, 1);
