--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -16,7 +16,7 @@
  * Servers that accept new work and the announced weight versions, fixed for one scheduling round.
  */
 final class ReadyServers {
-  private final Map<ServerStart, ServerEntry> byStart = new LinkedHashMap<>();
+  private final Map<ServerStart, ServerEntry> byIncarnation = new LinkedHashMap<>();
   private final Map<String, List<ServerEntry>> byService;
   private final Map<String, AnnouncedVersion> announcedVersions;
 
@@ -24,20 +24,20 @@
     this.announcedVersions = Objects.requireNonNull(named, "named");
     servers.stream()
         .filter(ServerEntry::ready)
-        .forEach(server -> byStart.put(server.start(), server));
+        .forEach(server -> byIncarnation.put(server.start(), server));
     byService =
-        byStart.values().stream()
+        byIncarnation.values().stream()
             .collect(
                 Collectors.groupingBy(ServerEntry::service, TreeMap::new, Collectors.toList()));
   }
 
   Set<ServerStart> starts() {
-    return byStart.keySet();
+    return byIncarnation.keySet();
   }
 
   /** Returns the entry of a server; null if it accepts no new work. */
   ServerEntry get(ServerStart start) {
-    return byStart.get(start);
+    return byIncarnation.get(start);
   }
 
   Set<String> services() {
