--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -53,7 +53,7 @@
   /** Begins a scheduling round, during which the servers and their speeds stay the same. */
   void beginRound(ReadyServers readyServers, long nowMillis) {
     servers = readyServers;
-    refusals.retain(readyServers.starts());
+    refusals.retain(readyServers.incarnations());
     view.beginRound(readyServers, nowMillis);
   }
 
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -31,7 +31,7 @@
                 Collectors.groupingBy(ServerEntry::service, TreeMap::new, Collectors.toList()));
   }
 
-  Set<ServerStart> starts() {
+  Set<ServerStart> incarnations() {
     return byIncarnation.keySet();
   }
 
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -79,8 +79,8 @@
 
   /** Begins a scheduling round, during which the intervals stay the same. */
   void beginRound(ReadyServers servers, long nowMillis) {
-    intervalTracker.retain(servers.starts());
-    health.retain(servers.starts());
+    intervalTracker.retain(servers.incarnations());
+    health.retain(servers.incarnations());
     peerReports.forgetExpired(nowMillis);
     intervalsByServer.clear();
     peerSlotsInUse.clear();
