--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -48,7 +48,7 @@
     return byService.getOrDefault(service, List.of());
   }
 
-  List<ServerStart> startsOf(String service) {
+  List<ServerStart> incarnationsOf(String service) {
     return of(service).stream().map(ServerEntry::start).toList();
   }
 
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -86,7 +86,7 @@
     peerSlotsInUse.clear();
     slow.clear();
     for (String service : servers.services()) {
-      computeIntervals(servers.startsOf(service), nowMillis);
+      computeIntervals(servers.incarnationsOf(service), nowMillis);
     }
   }
 
