--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -38,7 +38,7 @@
   private Set<ServerStart> knownServers = Set.of();
 
   /** Key of a model at one incarnation of a server. */
-  private record Key(ServerStart start, String model) {}
+  private record Key(ServerStart incarnation, String model) {}
 
   /** Number of generations accepted while a version was the newest one. */
   private record AcceptedCount(long newestVersion, int generations) {}
@@ -56,9 +56,9 @@
     }
     knownServers = Set.copyOf(starts);
     newServers.retainAll(starts);
-    backoffs.keySet().removeIf(key -> !starts.contains(key.start()));
-    pending.keySet().removeIf(key -> !starts.contains(key.start()));
-    accepted.keySet().removeIf(key -> !starts.contains(key.start()));
+    backoffs.keySet().removeIf(key -> !starts.contains(key.incarnation()));
+    pending.keySet().removeIf(key -> !starts.contains(key.incarnation()));
+    accepted.keySet().removeIf(key -> !starts.contains(key.incarnation()));
   }
 
   /** Counts a generation that was sent to a server as pending. */
