--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -177,9 +177,9 @@
   /** Returns the cost of a server's load by all nodes, which is higher once its slots are full. */
   private double loadCost(ServerEntry server) {
     int slots = Math.max(1, server.slots());
-    int occupied = view.slotsInUse(server.start());
-    int queued = Math.max(0, occupied + 1 - slots);
-    return FULL_SERVER_COST_MILLIS * Math.min(slots, occupied) / slots
+    int slotsInUse = view.slotsInUse(server.start());
+    int queued = Math.max(0, slotsInUse + 1 - slots);
+    return FULL_SERVER_COST_MILLIS * Math.min(slots, slotsInUse) / slots
         + QUEUED_GENERATION_COST_MILLIS * queued;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ItemFinisher.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemFinisher.java
@@ -7,7 +7,7 @@
 
 /**
  * Requests the scores of items with a complete text and creates the results of items that are
- * scored or have failed. Times are in monotonic milliseconds. Not thread-safe.
+ * scored or abandoned. Times are in monotonic milliseconds. Not thread-safe.
  */
 final class ItemFinisher {
   private static final long SCORE_RETRY_DELAY_MILLIS = 100;
@@ -50,10 +50,10 @@
   }
 
   /**
-   * Schedules a retry of a failed score request, or fails the item.
+   * Schedules a retry of a failed score request, or abandons the item.
    *
    * @param serverErrors number of 500 responses to this request
-   * @param maxServerErrors number of 500 responses at which the item fails
+   * @param maxServerErrors number of 500 responses at which the item is abandoned
    * @param pauseMillis minimum delay before the next request
    */
   List<JobAction> onScoreFailed(
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Returns the actions that are due now: failing expired items, moving generations, and starting
-   * generations and score requests.
+   * Returns the actions that are due now: abandoning expired items, moving generations, and
+   * starting generations and score requests.
    *
    * @param newest newest weight version by model
    */
@@ -395,10 +395,10 @@
   }
 
   /**
-   * Schedules a retry of a failed score request, or fails the item.
+   * Schedules a retry of a failed score request, or abandons the item.
    *
    * @param serverErrors number of 500 responses to this request
-   * @param maxServerErrors number of 500 responses at which the item fails
+   * @param maxServerErrors number of 500 responses at which the item is abandoned
    * @param pauseMillis minimum delay before the next request
    */
   public List<JobAction> onScoreFailed(
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -121,7 +121,7 @@
         slotsInUse(start), relativeInterval, peerReports.ageMillis(start, nowMillis));
   }
 
-  /** Returns the number of generations of all nodes at a server. */
+  /** Returns the number of slots that the generations of all nodes use at a server. */
   int slotsInUse(ServerStart start) {
     return health.inProgress(start) + peerSlotsInUse.getOrDefault(start, 0);
   }
--- a/core/src/test/java/org/passhaven/core/log/ReadConcurrencyLimiterTest.java
+++ b/core/src/test/java/org/passhaven/core/log/ReadConcurrencyLimiterTest.java
@@ -7,45 +7,45 @@
 
 /** Guards against a read limit that leaves its bounds or reacts wrongly to lost reads. */
 class ReadConcurrencyLimiterTest {
-  private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
+  private final ReadConcurrencyLimiter limiter = new ReadConcurrencyLimiter();
 
   private void completeReads(int count, long durationMillis) {
     for (int i = 0; i < count; i++) {
-      window.onReadCompleted(durationMillis);
+      limiter.onReadCompleted(durationMillis);
     }
   }
 
   @Test
   void fastReadsRaiseTheLimitUpToTheMaximum() {
-    assertThat(window.maxConcurrentReads(), is(4));
+    assertThat(limiter.maxConcurrentReads(), is(4));
     completeReads(2, 40);
-    assertThat(window.maxConcurrentReads(), is(6));
+    assertThat(limiter.maxConcurrentReads(), is(6));
     completeReads(20, 40);
-    assertThat(window.maxConcurrentReads(), is(8));
+    assertThat(limiter.maxConcurrentReads(), is(8));
   }
 
   @Test
   void slowReadsLowerTheLimitToOne() {
     completeReads(2, 900);
-    assertThat(window.maxConcurrentReads(), is(2));
+    assertThat(limiter.maxConcurrentReads(), is(2));
     completeReads(20, 900);
-    assertThat(window.maxConcurrentReads(), is(1));
+    assertThat(limiter.maxConcurrentReads(), is(1));
   }
 
   @Test
   void readsOfMediumDurationKeepTheLimit() {
     completeReads(20, 500);
-    assertThat(window.maxConcurrentReads(), is(4));
+    assertThat(limiter.maxConcurrentReads(), is(4));
   }
 
   @Test
   void readsLostTogetherHalveTheLimitOnce() {
     completeReads(4, 40);
-    window.onReadLost(100, 1_300);
-    window.onReadLost(100, 1_300);
-    window.onReadLost(1_200, 2_400);
-    assertThat(window.maxConcurrentReads(), is(4));
-    window.onReadLost(1_300, 2_500);
-    assertThat(window.maxConcurrentReads(), is(2));
+    limiter.onReadLost(100, 1_300);
+    limiter.onReadLost(100, 1_300);
+    limiter.onReadLost(1_200, 2_400);
+    assertThat(limiter.maxConcurrentReads(), is(4));
+    limiter.onReadLost(1_300, 2_500);
+    assertThat(limiter.maxConcurrentReads(), is(2));
   }
 }
