--- a/core/src/main/java/org/passhaven/core/backend/PeakUse.java
+++ b/core/src/main/java/org/passhaven/core/backend/PeakConcurrency.java
@@ -4,7 +4,7 @@
  * Tracks the peak number of concurrent requests over a recent time window. Times are in monotonic
  * milliseconds. Not thread-safe.
  */
-public final class PeakUse {
+public final class PeakConcurrency {
   /**
    * How long a peak is kept. Runs send requests in bursts several seconds apart; expiring the peak
    * between bursts would drop connections that the next burst needs.
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -178,7 +178,7 @@
 
   private final class Node {
     private final ServerHealth health = new ServerHealth();
-    private final PeakUse use = new PeakUse();
+    private final PeakConcurrency use = new PeakConcurrency();
     private final Map<ServerStart, List<Long>> idleSince = new HashMap<>();
     private final ServerSubset subset;
     private final ServerPicker byZone;
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -210,7 +210,7 @@
 
   @Test
   void aPeakIsKeptBetweenTwoBurstsAndThenExpires() {
-    PeakUse use = new PeakUse();
+    PeakConcurrency use = new PeakConcurrency();
     assertThat(use.mark(12, 0), is(12));
     assertThat(use.mark(1, 5_000), is(12));
     assertThat(use.mark(12, 6_000), is(12));
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Supplier;
-import org.passhaven.core.backend.PeakUse;
+import org.passhaven.core.backend.PeakConcurrency;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerHealth;
 import org.passhaven.core.backend.ServerPicker;
@@ -35,7 +35,7 @@
 
   /** The subset of one service, the nodes and servers it was computed from, and its peak use. */
   private static final class Service {
-    final PeakUse peakUse = new PeakUse();
+    final PeakConcurrency peakUse = new PeakConcurrency();
     int rotation;
     List<Member> nodes = List.of();
     List<ServerEntry> ready = List.of();
