--- a/core/src/main/java/org/passhaven/core/backend/PeakConcurrency.java
+++ b/core/src/main/java/org/passhaven/core/backend/PeakConcurrency.java
@@ -18,7 +18,7 @@
   private long peakAtMillis = DISTANT_PAST_MILLIS;
 
   /** Records the current number of requests in progress and returns the peak. */
-  public int mark(int inProgress, long nowMillis) {
+  public int update(int inProgress, long nowMillis) {
     if (inProgress >= peak || nowMillis - peakAtMillis > RETENTION_MILLIS) {
       peak = inProgress;
       peakAtMillis = nowMillis;
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -200,7 +200,7 @@
       int own = servers.stream().mapToInt(server -> health.inProgress(server.start())).sum();
       List<ServerEntry> candidates =
           subset
-              .forUse(use.mark(own + 1, nowMillis), turn++)
+              .forUse(use.update(own + 1, nowMillis), turn++)
               .candidates(server -> inSubset.isGood(server, servers, nowMillis));
       return switch (strategy) {
         case BY_NAME -> byZone.pick(byName, Set.of(), nowMillis).orElseThrow();
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -211,10 +211,10 @@
   @Test
   void aPeakIsKeptBetweenTwoBurstsAndThenExpires() {
     PeakConcurrency use = new PeakConcurrency();
-    assertThat(use.mark(12, 0), is(12));
-    assertThat(use.mark(1, 5_000), is(12));
-    assertThat(use.mark(12, 6_000), is(12));
-    assertThat(use.mark(1, 15_000), is(12));
-    assertThat(use.mark(1, 16_001), is(1));
+    assertThat(use.update(12, 0), is(12));
+    assertThat(use.update(1, 5_000), is(12));
+    assertThat(use.update(12, 6_000), is(12));
+    assertThat(use.update(1, 15_000), is(12));
+    assertThat(use.update(1, 16_001), is(1));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -66,7 +66,7 @@
     Service service = services.computeIfAbsent(name, key -> new Service());
     refresh(name, service);
     long now = context.nowMillis();
-    int peak = service.peakUse.mark(inProgress(service) + 1, now);
+    int peak = service.peakUse.update(inProgress(service) + 1, now);
     service.activeSubset = service.subset.forUse(peak, service.rotation++);
     List<ServerEntry> servers =
         service.activeSubset.candidates(
