--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -13,7 +13,7 @@
  * @param versions weight version by model; empty if the server has no models
  */
 public record ServerEntry(
-    ServerStart start,
+    ServerIncarnation start,
     String service,
     String address,
     String zone,
--- a/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
@@ -13,7 +13,7 @@
   private static final long MAX_BACKOFF_MILLIS = 3_000;
   private static final double LATENCY_SMOOTHING_FACTOR = 0.2;
   private static final long LATENCY_EXPIRY_MILLIS = 10_000;
-  private final Map<ServerStart, ServerStats> statsByServer = new HashMap<>();
+  private final Map<ServerIncarnation, ServerStats> statsByServer = new HashMap<>();
 
   private static final class ServerStats {
     int inProgress;
@@ -23,30 +23,30 @@
     long latencyUpdatedAtMillis = Long.MIN_VALUE;
   }
 
-  private ServerStats statsOf(ServerStart start) {
+  private ServerStats statsOf(ServerIncarnation start) {
     return statsByServer.computeIfAbsent(start, key -> new ServerStats());
   }
 
   /** Removes servers that are no longer listed, except those with requests in progress. */
-  public void retain(Set<ServerStart> starts) {
+  public void retain(Set<ServerIncarnation> starts) {
     statsByServer
         .entrySet()
         .removeIf(e -> !starts.contains(e.getKey()) && e.getValue().inProgress == 0);
   }
 
   /** Records that a request was sent to a server. */
-  public void onSent(ServerStart start) {
+  public void onSent(ServerIncarnation start) {
     statsOf(start).inProgress++;
   }
 
   /** Records that a request at a server ended, whatever its outcome. */
-  public void onEnded(ServerStart start) {
+  public void onEnded(ServerIncarnation start) {
     ServerStats server = statsOf(start);
     server.inProgress = Math.max(0, server.inProgress - 1);
   }
 
   /** Records a successful response after {@code tookMillis} and ends the backoff of the server. */
-  public void onSuccess(ServerStart start, long tookMillis, long nowMillis) {
+  public void onSuccess(ServerIncarnation start, long tookMillis, long nowMillis) {
     ServerStats server = statsOf(start);
     server.consecutiveFailures = 0;
     server.avoidedUntilMillis = Long.MIN_VALUE;
@@ -59,7 +59,7 @@
   }
 
   /** Records a failed request and avoids the server with exponential backoff. */
-  public void onFailure(ServerStart start, long nowMillis) {
+  public void onFailure(ServerIncarnation start, long nowMillis) {
     ServerStats server = statsOf(start);
     int doublings = Math.min(server.consecutiveFailures, 4);
     server.consecutiveFailures++;
@@ -67,30 +67,30 @@
   }
 
   /** Avoids a server for a time; it is still used if there is no other. */
-  public void avoid(ServerStart start, long forMillis, long nowMillis) {
+  public void avoid(ServerIncarnation start, long forMillis, long nowMillis) {
     ServerStats server = statsOf(start);
     server.avoidedUntilMillis = Math.max(server.avoidedUntilMillis, nowMillis + forMillis);
   }
 
   /** Returns whether a server should be avoided now. */
-  public boolean isAvoided(ServerStart start, long nowMillis) {
+  public boolean isAvoided(ServerIncarnation start, long nowMillis) {
     ServerStats server = statsByServer.get(start);
     return server != null && nowMillis < server.avoidedUntilMillis;
   }
 
   /** Returns all servers with recorded observations. */
-  public Set<ServerStart> starts() {
+  public Set<ServerIncarnation> starts() {
     return Set.copyOf(statsByServer.keySet());
   }
 
   /** Returns the number of requests of this node in progress at a server. */
-  public int inProgress(ServerStart start) {
+  public int inProgress(ServerIncarnation start) {
     ServerStats server = statsByServer.get(start);
     return server == null ? 0 : server.inProgress;
   }
 
   /** Returns the smoothed response latency, or zero if it is unknown or stale. */
-  public double latencyMillis(ServerStart start, long nowMillis) {
+  public double latencyMillis(ServerIncarnation start, long nowMillis) {
     ServerStats server = statsByServer.get(start);
     boolean known =
         server != null && nowMillis - server.latencyUpdatedAtMillis <= LATENCY_EXPIRY_MILLIS;
--- a/core/src/main/java/org/passhaven/core/backend/ServerStart.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
@@ -12,11 +12,12 @@
  * @param bornMillis start time reported by the server, in milliseconds since 1970; zero if servers
  *     report none and get a new id after each start
  */
-public record ServerStart(String id, long bornMillis) implements Comparable<ServerStart> {
-  private static final Comparator<ServerStart> ORDER =
-      Comparator.comparing(ServerStart::id).thenComparingLong(ServerStart::bornMillis);
+public record ServerIncarnation(String id, long bornMillis)
+    implements Comparable<ServerIncarnation> {
+  private static final Comparator<ServerIncarnation> ORDER =
+      Comparator.comparing(ServerIncarnation::id).thenComparingLong(ServerIncarnation::bornMillis);
 
-  public ServerStart {
+  public ServerIncarnation {
     Objects.requireNonNull(id, "id");
     if (bornMillis < 0) {
       throw new IllegalArgumentException("start time of server " + id + " must not be negative");
@@ -24,8 +25,8 @@
   }
 
   /** Returns the incarnation of a server that does not report its start time. */
-  public static ServerStart of(String id) {
-    return new ServerStart(id, 0);
+  public static ServerIncarnation of(String id) {
+    return new ServerIncarnation(id, 0);
   }
 
   /** Returns whether the server reports its start time. */
@@ -34,12 +35,12 @@
   }
 
   /** Returns whether {@code other} is a later incarnation of the same server. */
-  public boolean isFollowedBy(ServerStart other) {
+  public boolean isFollowedBy(ServerIncarnation other) {
     return id.equals(other.id) && bornMillis < other.bornMillis;
   }
 
   @Override
-  public int compareTo(ServerStart other) {
+  public int compareTo(ServerIncarnation other) {
     return ORDER.compare(this, other);
   }
 
--- a/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
@@ -38,7 +38,7 @@
    * @param servers in this node's order of preference
    */
   public Optional<ServerEntry> pick(
-      Collection<ServerEntry> servers, Set<ServerStart> excluded, long nowMillis) {
+      Collection<ServerEntry> servers, Set<ServerIncarnation> excluded, long nowMillis) {
     List<ServerEntry> allowed =
         servers.stream().filter(server -> !excluded.contains(server.start())).toList();
     List<ServerEntry> healthy =
--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -92,7 +92,7 @@
 
   /** Returns this subset with each entry replaced by its newest version. */
   public ServerSubset withEntries(Collection<ServerEntry> newest) {
-    Map<ServerStart, ServerEntry> byStart =
+    Map<ServerIncarnation, ServerEntry> byStart =
         newest.stream().collect(Collectors.toMap(ServerEntry::start, Function.identity()));
     return new ServerSubset(
         byPreference.stream().map(server -> byStart.getOrDefault(server.start(), server)).toList(),
@@ -122,7 +122,7 @@
     if (earlier.byPreference.isEmpty()) {
       return this;
     }
-    List<ServerStart> starts = byPreference.stream().map(ServerEntry::start).toList();
+    List<ServerIncarnation> starts = byPreference.stream().map(ServerEntry::start).toList();
     int index = starts.indexOf(earlier.byPreference.get(0).start());
     if (index < 0 || index >= size) {
       return this;
@@ -183,7 +183,7 @@
   }
 
   /** Returns whether a server is in the subset. */
-  public boolean contains(ServerStart start) {
+  public boolean contains(ServerIncarnation start) {
     return byPreference.subList(0, size).stream().anyMatch(server -> server.start().equals(start));
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -19,7 +19,7 @@
    * of a server that reports one comes from another writer and removes the server.
    */
   public void put(ServerEntry entry) {
-    ServerStart start = entry.start();
+    ServerIncarnation start = entry.start();
     ServerEntry known = servers.get(start.id());
     if (known == null || known.start().isFollowedBy(start)) {
       servers.put(start.id(), entry);
@@ -31,7 +31,7 @@
   }
 
   /** Records a model version that a server reported before its entry was updated. */
-  public void onReached(ServerStart start, String model, long version) {
+  public void onReached(ServerIncarnation start, String model, long version) {
     servers.computeIfPresent(
         start.id(),
         (id, entry) ->
@@ -56,19 +56,19 @@
   /**
    * Returns the entry of an incarnation, or null if there is none or another incarnation is listed.
    */
-  public ServerEntry get(ServerStart start) {
+  public ServerEntry get(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
     return entry != null && entry.start().equals(start) ? entry : null;
   }
 
   /** Returns whether a later incarnation of the same server is listed. */
-  public boolean isSucceeded(ServerStart start) {
+  public boolean isSucceeded(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
     return entry != null && start.isFollowedBy(entry.start());
   }
 
   /** Returns whether this incarnation of a server accepts new requests. */
-  public boolean isReady(ServerStart start) {
+  public boolean isReady(ServerIncarnation start) {
     ServerEntry entry = get(start);
     return entry != null && entry.ready();
   }
--- a/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
@@ -21,7 +21,7 @@
   private final Map<String, Report> byNode = new HashMap<>();
 
   private record Report(
-      long incarnation, Map<ServerStart, ServerUse> uses, long receivedAtMillis) {}
+      long incarnation, Map<ServerIncarnation, ServerUse> uses, long receivedAtMillis) {}
 
   /** Adds a report of another node, replacing the node's previous one. */
   public void onReport(String node, long incarnation, List<ServerUse> uses, long nowMillis) {
@@ -36,8 +36,8 @@
       byNode.remove(node);
       return;
     }
-    Map<ServerStart, ServerUse> byStart = new HashMap<>();
-    uses.forEach(use -> byStart.put(new ServerStart(use.server(), use.bornMillis()), use));
+    Map<ServerIncarnation, ServerUse> byStart = new HashMap<>();
+    uses.forEach(use -> byStart.put(new ServerIncarnation(use.server(), use.bornMillis()), use));
     byNode.put(node, new Report(incarnation, byStart, nowMillis));
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Returns the estimated number of generations of other nodes at a server now. */
-  public double placesTaken(ServerStart start, long nowMillis) {
+  public double placesTaken(ServerIncarnation start, long nowMillis) {
     double slots = 0;
     for (Report report : byNode.values()) {
       ServerUse use = report.uses().get(start);
@@ -67,7 +67,7 @@
    * Returns the sustained pause between events at a server from its newest report, or zero if there
    * is none.
    */
-  public double pauseMillis(ServerStart start, long nowMillis) {
+  public double pauseMillis(ServerIncarnation start, long nowMillis) {
     long newest = Long.MIN_VALUE;
     double pause = 0;
     for (Report report : byNode.values()) {
@@ -87,7 +87,7 @@
    * Returns the age of the oldest unexpired report on a server, or {@link Long#MAX_VALUE} if there
    * is none.
    */
-  public long ageMillis(ServerStart start, long nowMillis) {
+  public long ageMillis(ServerIncarnation start, long nowMillis) {
     return byNode.values().stream()
         .filter(report -> report.uses().containsKey(start))
         .mapToLong(report -> nowMillis - report.receivedAtMillis())
--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.passhaven.core.backend.ServerEntry;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerPicker;
-import org.passhaven.core.backend.ServerStart;
 import org.passhaven.core.route.Route;
 
 /**
@@ -49,7 +49,7 @@
   private final Route route;
   private final boolean mayRepeat;
   private final long deadlineMillis;
-  private final Set<ServerStart> triedServers = new HashSet<>();
+  private final Set<ServerIncarnation> triedServers = new HashSet<>();
   private int possibleRuns;
   private int refusals;
   private int inProgress;
@@ -91,7 +91,7 @@
   }
 
   /** Returns whether the request was sent to a server. */
-  public boolean hasTried(ServerStart server) {
+  public boolean hasTried(ServerIncarnation server) {
     return triedServers.contains(server);
   }
 
--- a/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Measures the intervals between events of each server on two time scales: a recent mean, and a
@@ -25,7 +25,7 @@
   /** Number of samples from which on the mean of a bucket is used. */
   private static final int MIN_BUCKET_SAMPLES = 3;
 
-  private final Map<ServerStart, Statistics> statisticsByServer = new HashMap<>();
+  private final Map<ServerIncarnation, Statistics> statisticsByServer = new HashMap<>();
 
   /** Sum and number of the intervals in one time bucket. */
   private static final class Bucket {
@@ -73,7 +73,7 @@
     }
   }
 
-  void onInterval(ServerStart server, long intervalMillis, long nowMillis) {
+  void onInterval(ServerIncarnation server, long intervalMillis, long nowMillis) {
     Statistics statistics = statisticsByServer.computeIfAbsent(server, name -> new Statistics());
     if (statistics.samples == 0
         || nowMillis - statistics.lastSampleAtMillis > MAX_SAMPLE_AGE_MILLIS) {
@@ -88,7 +88,7 @@
   }
 
   /** Returns the recent mean interval between events of a server; zero if it is unknown. */
-  double recentMillis(ServerStart server, long nowMillis) {
+  double recentMillis(ServerIncarnation server, long nowMillis) {
     Statistics statistics = statisticsByServer.get(server);
     boolean isReliable =
         statistics != null
@@ -98,14 +98,14 @@
   }
 
   /** Returns the sustained interval between events of a server; zero if it is unknown. */
-  double sustainedMillis(ServerStart server, long nowMillis) {
+  double sustainedMillis(ServerIncarnation server, long nowMillis) {
     double recent = recentMillis(server, nowMillis);
     return recent == 0
         ? 0
         : Math.min(recent, statisticsByServer.get(server).sustainedMillis(recent));
   }
 
-  void retain(Collection<ServerStart> servers) {
+  void retain(Collection<ServerIncarnation> servers) {
     statisticsByServer.keySet().retainAll(servers);
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.placement.Rendezvous;
 
 /**
@@ -40,7 +40,7 @@
   private final ServerView view;
   private final LengthEstimator lengths;
   private final RefusalTracker refusals = new RefusalTracker();
-  private final Map<String, ServerStart> serverByGroup = new LinkedHashMap<>();
+  private final Map<String, ServerIncarnation> serverByGroup = new LinkedHashMap<>();
   private ReadyServers servers = new ReadyServers(Set.of(), Map.of());
 
   GenerationPicker(String node, String zone, ServerView view, LengthEstimator lengths) {
@@ -73,7 +73,7 @@
   }
 
   /** Remembers the server that has the group's prompt in its cache. */
-  void rememberServerOfGroup(String group, ServerStart start) {
+  void rememberServerOfGroup(String group, ServerIncarnation start) {
     serverByGroup.remove(group);
     serverByGroup.put(group, start);
     if (serverByGroup.size() > MAX_GROUPS) {
@@ -160,7 +160,7 @@
 
   /** Returns the expected time of the remaining text at a server, plus penalties. */
   private double cost(ItemExecution execution, ServerEntry server, long nowMillis) {
-    ServerStart start = server.start();
+    ServerIncarnation start = server.start();
     double cost = view.expectedMillis(remainingEvents(execution), start) + loadCost(server);
     if (start.equals(serverByGroup.get(execution.item.group()))) {
       cost -= AFFINITY_GAIN_MILLIS;
--- a/core/src/main/java/org/passhaven/core/job/ItemExecution.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemExecution.java
@@ -1,6 +1,6 @@
 package org.passhaven.core.job;
 
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.TextRecord.TextPart;
 
@@ -29,7 +29,7 @@
   /** Whether the server has accepted the current attempt. */
   boolean accepted;
 
-  ServerStart server = ServerStart.of("");
+  ServerIncarnation server = ServerIncarnation.of("");
   long version;
   long startedAtMillis;
   long lastProgressAtMillis;
@@ -60,7 +60,7 @@
   }
 
   /** Starts an attempt at a server. */
-  void startAttempt(long newAttempt, ServerStart newServer, long nowMillis) {
+  void startAttempt(long newAttempt, ServerIncarnation newServer, long nowMillis) {
     phase = Phase.GENERATING;
     attempt = newAttempt;
     attempts++;
--- a/core/src/main/java/org/passhaven/core/job/ItemHistory.java
+++ b/core/src/main/java/org/passhaven/core/job/ItemHistory.java
@@ -1,6 +1,6 @@
 package org.passhaven.core.job;
 
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Timings and counts of an item's processing at this node, for log lines. Times are in monotonic
@@ -25,4 +25,4 @@
     long events,
     int attempts,
     int moves,
-    ServerStart server) {}
+    ServerIncarnation server) {}
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Servers that accept new work and the announced weight versions, fixed for one scheduling round.
  */
 final class ReadyServers {
-  private final Map<ServerStart, ServerEntry> byIncarnation = new LinkedHashMap<>();
+  private final Map<ServerIncarnation, ServerEntry> byIncarnation = new LinkedHashMap<>();
   private final Map<String, List<ServerEntry>> byService;
   private final Map<String, AnnouncedVersion> announcedVersions;
 
@@ -31,12 +31,12 @@
                 Collectors.groupingBy(ServerEntry::service, TreeMap::new, Collectors.toList()));
   }
 
-  Set<ServerStart> incarnations() {
+  Set<ServerIncarnation> incarnations() {
     return byIncarnation.keySet();
   }
 
   /** Returns the entry of a server; null if it accepts no new work. */
-  ServerEntry get(ServerStart start) {
+  ServerEntry get(ServerIncarnation start) {
     return byIncarnation.get(start);
   }
 
@@ -48,7 +48,7 @@
     return byService.getOrDefault(service, List.of());
   }
 
-  List<ServerStart> incarnationsOf(String service) {
+  List<ServerIncarnation> incarnationsOf(String service) {
     return of(service).stream().map(ServerEntry::start).toList();
   }
 
--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Tracks which servers refuse generations of a model, and limits what is sent to them. A refusing
@@ -33,12 +33,12 @@
   private final Map<Key, AcceptedCount> accepted = new HashMap<>();
 
   /** Servers that appeared recently and have not accepted a generation of this node. */
-  private final Set<ServerStart> newServers = new HashSet<>();
+  private final Set<ServerIncarnation> newServers = new HashSet<>();
 
-  private Set<ServerStart> knownServers = Set.of();
+  private Set<ServerIncarnation> knownServers = Set.of();
 
   /** Key of a model at one incarnation of a server. */
-  private record Key(ServerStart incarnation, String model) {}
+  private record Key(ServerIncarnation incarnation, String model) {}
 
   /** Number of generations accepted while a version was the newest one. */
   private record AcceptedCount(long newestVersion, int generations) {}
@@ -47,7 +47,7 @@
   private record Backoff(long heldVersion, long delayMillis, long untilMillis) {}
 
   /** Removes servers that are no longer listed and marks added ones as new. */
-  void retain(Set<ServerStart> starts) {
+  void retain(Set<ServerIncarnation> starts) {
     if (knownServers.equals(starts)) {
       return;
     }
@@ -62,12 +62,12 @@
   }
 
   /** Counts a generation that was sent to a server as pending. */
-  void onSent(ServerStart start, String model) {
+  void onSent(ServerIncarnation start, String model) {
     pending.merge(new Key(start, model), 1, Integer::sum);
   }
 
   /** Stops counting a generation as pending: it was accepted, refused or has failed. */
-  void removePending(ServerStart start, String model) {
+  void removePending(ServerIncarnation start, String model) {
     pending.computeIfPresent(new Key(start, model), (key, count) -> count > 1 ? count - 1 : null);
   }
 
@@ -76,7 +76,7 @@
    *
    * @param newest newest weight version of the model
    */
-  void onAccepted(ServerStart start, String model, long newest) {
+  void onAccepted(ServerIncarnation start, String model, long newest) {
     Key key = new Key(start, model);
     removePending(start, model);
     backoffs.remove(key);
@@ -96,7 +96,7 @@
    * @param newest newest weight version of the model, if the server does not hold it
    */
   void onRefused(
-      ServerStart start,
+      ServerIncarnation start,
       String model,
       long heldVersion,
       Optional<AnnouncedVersion> newest,
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.passhaven.core.backend.ServerEstimate;
 import org.passhaven.core.backend.ServerHealth;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerUseTable;
 import org.passhaven.protocol.member.ServerUse;
 
@@ -30,9 +30,9 @@
   private final ServerHealth health = new ServerHealth();
   private final EventIntervalTracker intervalTracker = new EventIntervalTracker();
   private final ServerUseTable peerReports = new ServerUseTable();
-  private final Map<ServerStart, Intervals> intervalsByServer = new HashMap<>();
-  private final Map<ServerStart, Integer> peerSlotsInUse = new HashMap<>();
-  private final Set<ServerStart> slow = new HashSet<>();
+  private final Map<ServerIncarnation, Intervals> intervalsByServer = new HashMap<>();
+  private final Map<ServerIncarnation, Integer> peerSlotsInUse = new HashMap<>();
+  private final Set<ServerIncarnation> slow = new HashSet<>();
 
   /** Sustained and recent interval between events of a server, and the median of its service. */
   private record Intervals(
@@ -55,14 +55,14 @@
     return health.starts().stream()
         .filter(start -> health.inProgress(start) > 0)
         .sorted(
-            Comparator.comparingInt((ServerStart start) -> -health.inProgress(start))
+            Comparator.comparingInt((ServerIncarnation start) -> -health.inProgress(start))
                 .thenComparing(Comparator.naturalOrder()))
         .limit(limit)
         .map(start -> toServerUse(start, nowMillis))
         .toList();
   }
 
-  private ServerUse toServerUse(ServerStart start, long nowMillis) {
+  private ServerUse toServerUse(ServerIncarnation start, long nowMillis) {
     int pauseMillis = (int) Math.round(intervalTracker.sustainedMillis(start, nowMillis));
     return new ServerUse(start.id(), start.bornMillis(), health.inProgress(start), pauseMillis);
   }
@@ -73,7 +73,7 @@
   }
 
   /** Returns the servers whose sustained interval is far above the median of their service. */
-  public Set<ServerStart> slowServers() {
+  public Set<ServerIncarnation> slowServers() {
     return Set.copyOf(slow);
   }
 
@@ -90,16 +90,16 @@
     }
   }
 
-  private void computeIntervals(List<ServerStart> starts, long nowMillis) {
-    Map<ServerStart, Double> sustained = new HashMap<>();
-    for (ServerStart start : starts) {
+  private void computeIntervals(List<ServerIncarnation> starts, long nowMillis) {
+    Map<ServerIncarnation, Double> sustained = new HashMap<>();
+    for (ServerIncarnation start : starts) {
       double ownMillis = intervalTracker.sustainedMillis(start, nowMillis);
       sustained.put(start, ownMillis > 0 ? ownMillis : peerReports.pauseMillis(start, nowMillis));
     }
     double[] known = sustained.values().stream().mapToDouble(p -> p).filter(p -> p > 0).toArray();
     Arrays.sort(known);
     double median = known.length == 0 ? DEFAULT_INTERVAL_MILLIS : known[(known.length - 1) / 2];
-    for (ServerStart start : starts) {
+    for (ServerIncarnation start : starts) {
       peerSlotsInUse.put(start, (int) Math.round(peerReports.placesTaken(start, nowMillis)));
       double knownMillis = sustained.get(start);
       double sustainedMillis = knownMillis > 0 ? knownMillis : median;
@@ -113,7 +113,7 @@
   }
 
   /** Returns the current estimate of a server, for log lines. */
-  public ServerEstimate estimate(ServerStart start, long nowMillis) {
+  public ServerEstimate estimate(ServerIncarnation start, long nowMillis) {
     Intervals known = intervalsByServer.get(start);
     double relativeInterval =
         known == null ? 1 : known.sustainedMillis() / known.serviceMedianMillis();
@@ -122,18 +122,18 @@
   }
 
   /** Returns the number of slots that the generations of all nodes use at a server. */
-  int slotsInUse(ServerStart start) {
+  int slotsInUse(ServerIncarnation start) {
     return health.inProgress(start) + peerSlotsInUse.getOrDefault(start, 0);
   }
 
   /** Returns the sustained interval between events of a server; zero if it is not listed. */
-  double sustainedIntervalMillis(ServerStart start) {
+  double sustainedIntervalMillis(ServerIncarnation start) {
     Intervals known = intervalsByServer.get(start);
     return known == null ? 0 : known.sustainedMillis();
   }
 
   /** Returns the expected time of some events at a server, including a current slowdown. */
-  double expectedMillis(double events, ServerStart start) {
+  double expectedMillis(double events, ServerIncarnation start) {
     Intervals known = intervalsByServer.get(start);
     if (known == null) {
       return 0;
--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Plans which servers load which weight version next, following the placement of {@link
@@ -24,9 +24,9 @@
   public record Wanted(ServerEntry server, String model, long version) {}
 
   private final LoadLimit limit;
-  private final Map<ServerStart, Wanted> loading = new TreeMap<>();
-  private final Map<ServerStart, Long> notBeforeMillis = new HashMap<>();
-  private final Map<ServerStart, Long> unreachableUntilMillis = new HashMap<>();
+  private final Map<ServerIncarnation, Wanted> loading = new TreeMap<>();
+  private final Map<ServerIncarnation, Long> notBeforeMillis = new HashMap<>();
+  private final Map<ServerIncarnation, Long> unreachableUntilMillis = new HashMap<>();
   private final WeightPlacement placement = new WeightPlacement(ServerEntry::versionOf);
 
   /** Creates a planner with a limit on the concurrent loads of a service. */
@@ -43,7 +43,7 @@
                     nowMillis
                         >= unreachableUntilMillis.getOrDefault(server.start(), Long.MIN_VALUE))
             .toList();
-    Map<ServerStart, Set<String>> placed =
+    Map<ServerIncarnation, Set<String>> placed =
         placement.place(reachable, demand.newestVersions().keySet(), demand.openItems());
     List<Wanted> due = new ArrayList<>();
     for (ServerEntry server : reachable) {
@@ -111,12 +111,12 @@
   }
 
   /** Records that a server has completed its load. */
-  public void onDone(ServerStart start) {
+  public void onDone(ServerIncarnation start) {
     loading.remove(start);
   }
 
   /** Records a failed load; the server gets no load before {@code retryAtMillis}. */
-  public void onFailed(ServerStart start, long retryAtMillis) {
+  public void onFailed(ServerIncarnation start, long retryAtMillis) {
     loading.remove(start);
     notBeforeMillis.put(start, retryAtMillis);
   }
@@ -125,7 +125,7 @@
    * Records that a server did not respond; other servers replace it in the placement until {@code
    * retryAtMillis}.
    */
-  public void onUnreachable(ServerStart start, long retryAtMillis) {
+  public void onUnreachable(ServerIncarnation start, long retryAtMillis) {
     onFailed(start, retryAtMillis);
     unreachableUntilMillis.put(start, retryAtMillis);
   }
--- a/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
@@ -13,7 +13,7 @@
 import java.util.function.ToLongBiFunction;
 import java.util.stream.Collectors;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Assigns models to the servers of each service, which then hold the newest weights of these
@@ -42,14 +42,14 @@
    * @param models models that are trained
    * @param openItems number of items that wait or generate, by model
    */
-  public Map<ServerStart, Set<String>> place(
+  public Map<ServerIncarnation, Set<String>> place(
       Collection<ServerEntry> servers, Collection<String> models, Map<String, Integer> openItems) {
     Map<String, List<ServerEntry>> byService =
         servers.stream()
             .filter(ServerEntry::ready)
             .collect(
                 Collectors.groupingBy(ServerEntry::service, TreeMap::new, Collectors.toList()));
-    Map<ServerStart, Set<String>> placed = new HashMap<>();
+    Map<ServerIncarnation, Set<String>> placed = new HashMap<>();
     byService.values().forEach(service -> placeService(service, models, openItems, placed));
     return placed;
   }
@@ -58,7 +58,7 @@
       List<ServerEntry> service,
       Collection<String> models,
       Map<String, Integer> openItems,
-      Map<ServerStart, Set<String>> placed) {
+      Map<ServerIncarnation, Set<String>> placed) {
     Set<String> served = new TreeSet<>();
     service.forEach(server -> served.addAll(server.versions().keySet()));
     served.retainAll(models);
@@ -82,7 +82,10 @@
 
   /** Adds servers to a model until it has {@code wanted}, those with the fewest models first. */
   private void addServers(
-      List<ServerEntry> service, String model, int wanted, Map<ServerStart, Set<String>> placed) {
+      List<ServerEntry> service,
+      String model,
+      int wanted,
+      Map<ServerIncarnation, Set<String>> placed) {
     long assigned =
         service.stream().filter(server -> modelsAt(server, placed).contains(model)).count();
     service.stream()
@@ -98,7 +101,8 @@
             server -> placed.computeIfAbsent(server.start(), key -> new HashSet<>()).add(model));
   }
 
-  private static Set<String> modelsAt(ServerEntry server, Map<ServerStart, Set<String>> placed) {
+  private static Set<String> modelsAt(
+      ServerEntry server, Map<ServerIncarnation, Set<String>> placed) {
     return placed.getOrDefault(server.start(), Set.of());
   }
 }
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -57,7 +57,7 @@
   private final List<Member> members;
   private final List<ServerEntry> servers;
   private final List<Node> nodes;
-  private final Map<ServerStart, Server> running = new HashMap<>();
+  private final Map<ServerIncarnation, Server> running = new HashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::atMillis));
   private final List<Long> calls = new ArrayList<>();
@@ -179,7 +179,7 @@
   private final class Node {
     private final ServerHealth health = new ServerHealth();
     private final PeakConcurrency use = new PeakConcurrency();
-    private final Map<ServerStart, List<Long>> idleSince = new HashMap<>();
+    private final Map<ServerIncarnation, List<Long>> idleSince = new HashMap<>();
     private final ServerSubset subset;
     private final ServerPicker byZone;
     private final ServerPicker inSubset;
--- a/core/src/test/java/org/passhaven/core/backend/ServerHealthTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerHealthTest.java
@@ -7,7 +7,7 @@
 
 /** Guards against wrong backoff of failing servers. */
 class ServerHealthTest {
-  private static final ServerStart SERVER = ServerStart.of("a");
+  private static final ServerIncarnation SERVER = ServerIncarnation.of("a");
   private final ServerHealth health = new ServerHealth();
 
   @Test
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -82,7 +82,7 @@
     List<Member> nodes = SubsetFixture.nodes(80, false, random);
     List<ServerEntry> servers = new ArrayList<>(SubsetFixture.servers(11, false, random));
     ServerEntry large =
-        new ServerEntry(ServerStart.of("large"), "s", "l:1", "z0", 12, true, Map.of());
+        new ServerEntry(ServerIncarnation.of("large"), "s", "l:1", "z0", 12, true, Map.of());
     servers.add(large);
     long nodesOfLarge =
         nodes.stream()
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -12,11 +12,11 @@
 
 /** Guards against state of one server incarnation being applied to another. */
 class ServerTableTest {
-  private static final ServerStart FIRST = new ServerStart("a", 100);
-  private static final ServerStart SECOND = new ServerStart("a", 200);
+  private static final ServerIncarnation FIRST = new ServerIncarnation("a", 100);
+  private static final ServerIncarnation SECOND = new ServerIncarnation("a", 200);
   private final ServerTable table = new ServerTable();
 
-  private static ServerEntry entry(ServerStart start, boolean ready, long version) {
+  private static ServerEntry entry(ServerIncarnation start, boolean ready, long version) {
     return new ServerEntry(start, "s", "h:1", "z", 4, ready, Map.of("m", version));
   }
 
@@ -52,23 +52,23 @@
   @Test
   void anEntryThatLosesItsStartTimeRemovesTheServer() {
     table.put(entry(FIRST, true, 1));
-    table.put(entry(ServerStart.of("b"), true, 1));
-    table.put(entry(ServerStart.of("a"), true, 1));
+    table.put(entry(ServerIncarnation.of("b"), true, 1));
+    table.put(entry(ServerIncarnation.of("a"), true, 1));
     assertThat(
-        table.all().stream().map(ServerEntry::start).toList(), contains(ServerStart.of("b")));
+        table.all().stream().map(ServerEntry::start).toList(), contains(ServerIncarnation.of("b")));
   }
 
   @Test
   void aServerThatStartsToReportItsStartTimeIsANewIncarnation() {
-    table.put(entry(ServerStart.of("a"), true, 7));
+    table.put(entry(ServerIncarnation.of("a"), true, 7));
     table.put(entry(FIRST, true, 1));
     assertThat(table.get(FIRST).versionOf("m"), equalTo(1L));
-    assertThat(table.isSucceeded(ServerStart.of("a")), is(true));
+    assertThat(table.isSucceeded(ServerIncarnation.of("a")), is(true));
   }
 
   @Test
   void entriesWithoutStartTimesAreUpdatedNormally() {
-    ServerStart start = ServerStart.of("b");
+    ServerIncarnation start = ServerIncarnation.of("b");
     table.put(entry(start, true, 2));
     table.put(entry(start, false, 1));
     assertThat(table.get(start).versionOf("m"), equalTo(2L));
--- a/core/src/test/java/org/passhaven/core/backend/ServerUseTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerUseTableTest.java
@@ -10,7 +10,7 @@
 
 /** Guards against wrong sums and stale reports of server use. */
 class ServerUseTableTest {
-  private static final ServerStart S = ServerStart.of("s");
+  private static final ServerIncarnation S = ServerIncarnation.of("s");
   private final ServerUseTable table = new ServerUseTable();
 
   private void report(String node, long incarnation, int inProgress, int pauseMillis, long now) {
@@ -62,7 +62,7 @@
   @Test
   void aReportOnAnEarlierIncarnationOfAServerDoesNotApplyToTheNext() {
     table.onReport("a", 1, List.of(new ServerUse("s", 5, 6, 40)), 0);
-    assertThat(table.placesTaken(new ServerStart("s", 5), 0), equalTo(6.0));
-    assertThat(table.placesTaken(new ServerStart("s", 9), 0), equalTo(0.0));
+    assertThat(table.placesTaken(new ServerIncarnation("s", 5), 0), equalTo(6.0));
+    assertThat(table.placesTaken(new ServerIncarnation("s", 9), 0), equalTo(0.0));
   }
 }
--- a/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
@@ -37,7 +37,7 @@
   }
 
   static ServerEntry server(String id, String zone) {
-    return new ServerEntry(ServerStart.of(id), "s", id + ":1", zone, SLOTS, true, Map.of());
+    return new ServerEntry(ServerIncarnation.of(id), "s", id + ":1", zone, SLOTS, true, Map.of());
   }
 
   private static String zone(int i, int count, boolean isUneven) {
@@ -54,7 +54,7 @@
    */
   static double maxOverMean(
       Map<String, List<ServerEntry>> subsets, List<ServerEntry> servers, int first) {
-    Map<ServerStart, Integer> nodesOf = new HashMap<>();
+    Map<ServerIncarnation, Integer> nodesOf = new HashMap<>();
     int choices = 0;
     for (List<ServerEntry> subset : subsets.values()) {
       for (ServerEntry server : subset.subList(0, Math.min(first, subset.size()))) {
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerHealth;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerPicker;
-import org.passhaven.core.backend.ServerStart;
 import org.passhaven.core.forward.ForwardPlan.Outcome;
 import org.passhaven.core.forward.ForwardPlan.Step;
 import org.passhaven.core.route.Route;
@@ -25,7 +25,7 @@
       List.of(server("a", "z"), server("b", "z"), server("c", "y"));
 
   private static ServerEntry server(String name, String zone) {
-    return new ServerEntry(ServerStart.of(name), "s", name + ":1", zone, 4, true, Map.of());
+    return new ServerEntry(ServerIncarnation.of(name), "s", name + ":1", zone, 4, true, Map.of());
   }
 
   private static ForwardPlan plan(Route.Kind kind, int attempts) {
@@ -119,27 +119,27 @@
 
   @Test
   void aFailedServerIsAvoidedWhileThereAreOthers() {
-    health.onFailure(ServerStart.of("a"), 0);
+    health.onFailure(ServerIncarnation.of("a"), 0);
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 10), equalTo(Optional.of("b")));
-    health.onFailure(ServerStart.of("b"), 0);
-    health.onFailure(ServerStart.of("c"), 0);
+    health.onFailure(ServerIncarnation.of("b"), 0);
+    health.onFailure(ServerIncarnation.of("c"), 0);
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 10).isPresent(), is(true));
   }
 
   @Test
   void theNearServerIsChosenUntilItIsBusier() {
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 0), equalTo(Optional.of("a")));
-    health.onSent(ServerStart.of("a"));
+    health.onSent(ServerIncarnation.of("a"));
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 0), equalTo(Optional.of("b")));
-    health.onSent(ServerStart.of("b"));
+    health.onSent(ServerIncarnation.of("b"));
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 0), equalTo(Optional.of("c")));
   }
 
   @Test
   void aMuchSlowerServerIsChosenLast() {
-    health.onSuccess(ServerStart.of("a"), 400, 0);
-    health.onSuccess(ServerStart.of("b"), 40, 0);
-    health.onSuccess(ServerStart.of("c"), 40, 0);
+    health.onSuccess(ServerIncarnation.of("a"), 400, 0);
+    health.onSuccess(ServerIncarnation.of("b"), 40, 0);
+    health.onSuccess(ServerIncarnation.of("c"), 40, 0);
     assertThat(next(plan(Route.Kind.REPEATABLE, 1), 1), equalTo(Optional.of("b")));
   }
 
--- a/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
+++ b/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Model server in virtual time with a limited number of slots and a limited queue. Refuses
@@ -36,7 +36,7 @@
     }
   }
 
-  final ServerStart start;
+  final ServerIncarnation start;
   private final double slowness;
   private final PlacementSimulation simulation;
   private final List<ServerGeneration> running = new ArrayList<>();
@@ -47,7 +47,7 @@
 
   FakeModelServer(
       String name, double slowness, List<String> models, PlacementSimulation simulation) {
-    this.start = ServerStart.of(name);
+    this.start = ServerIncarnation.of(name);
     this.slowness = slowness;
     this.simulation = simulation;
     models.forEach(model -> versions.put(model, 1L));
--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.member.ServerUse;
 
@@ -26,7 +26,7 @@
 
   private static ServerEntry server(String name) {
     return new ServerEntry(
-        ServerStart.of(name), "llm", name + ":1", "z", 12, true, Map.of("m", 1L));
+        ServerIncarnation.of(name), "llm", name + ":1", "z", 12, true, Map.of("m", 1L));
   }
 
   private static ItemExecution item(long expectedTokens) {
@@ -43,8 +43,8 @@
   void recordIntervals() {
     lengths.onCompleted(100, 10);
     for (int i = 0; i < 20; i++) {
-      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, i);
-      view.intervalTracker().onInterval(ServerStart.of("slow"), 50, i);
+      view.intervalTracker().onInterval(ServerIncarnation.of("fast"), 40, i);
+      view.intervalTracker().onInterval(ServerIncarnation.of("slow"), 50, i);
     }
     picker.beginRound(servers, 20);
   }
@@ -55,7 +55,7 @@
 
   private void addGenerations(String server, int generations) {
     for (int i = 0; i < generations; i++) {
-      view.health().onSent(ServerStart.of(server));
+      view.health().onSent(ServerIncarnation.of(server));
     }
   }
 
@@ -74,19 +74,19 @@
   @Test
   void textMovesToAServerThatEndsItMuchSooner() {
     ItemExecution execution = item(1_000);
-    execution.server = ServerStart.of("slow");
+    execution.server = ServerIncarnation.of("slow");
     assertThat(picker.chooseFaster(execution, 20), equalTo(Optional.of(FAST)));
     ItemExecution shortExecution = item(100);
-    shortExecution.server = ServerStart.of("slow");
+    shortExecution.server = ServerIncarnation.of("slow");
     assertThat(picker.chooseFaster(shortExecution, 20), equalTo(Optional.empty()));
-    execution.server = ServerStart.of("fast");
+    execution.server = ServerIncarnation.of("fast");
     assertThat(picker.chooseFaster(execution, 20), equalTo(Optional.empty()));
   }
 
   @Test
   void textLongerThanExpectedIsMoved() {
     ItemExecution execution = item(50);
-    execution.server = ServerStart.of("slow");
+    execution.server = ServerIncarnation.of("slow");
     for (int event = 1; event <= 40; event++) {
       execution.text.append(event, 1, "e");
     }
@@ -96,24 +96,24 @@
   @Test
   void textStaysAtASlightlySlowerServer() {
     for (int i = 0; i < 100; i++) {
-      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, 2_000 + i);
-      view.intervalTracker().onInterval(ServerStart.of("slow"), 44, 2_000 + i);
+      view.intervalTracker().onInterval(ServerIncarnation.of("fast"), 40, 2_000 + i);
+      view.intervalTracker().onInterval(ServerIncarnation.of("slow"), 44, 2_000 + i);
     }
     picker.beginRound(servers, 2_100);
     ItemExecution execution = item(1_000);
-    execution.server = ServerStart.of("slow");
+    execution.server = ServerIncarnation.of("slow");
     assertThat(picker.chooseFaster(execution, 2_100), equalTo(Optional.empty()));
   }
 
   @Test
   void textStaysAtATransientlySlowServer() {
     for (int now = 1_000; now < 2_600; now++) {
-      view.intervalTracker().onInterval(ServerStart.of("fast"), 40, now);
-      view.intervalTracker().onInterval(ServerStart.of("slow"), now < 2_000 ? 40 : 100, now);
+      view.intervalTracker().onInterval(ServerIncarnation.of("fast"), 40, now);
+      view.intervalTracker().onInterval(ServerIncarnation.of("slow"), now < 2_000 ? 40 : 100, now);
     }
     picker.beginRound(servers, 2_600);
     ItemExecution execution = item(1_000);
-    execution.server = ServerStart.of("slow");
+    execution.server = ServerIncarnation.of("slow");
     assertThat(picker.chooseFaster(execution, 2_600), equalTo(Optional.empty()));
     assertThat(view.slowServers(), empty());
   }
@@ -124,7 +124,7 @@
     view.onReport("other", 1, List.of(new ServerUse("fast", 0, 12, 40)), 20);
     picker.beginRound(servers, 20);
     assertThat(choose(100), equalTo("slow"));
-    assertThat(view.estimate(ServerStart.of("fast"), 20).placesTaken(), equalTo(12));
+    assertThat(view.estimate(ServerIncarnation.of("fast"), 20).placesTaken(), equalTo(12));
   }
 
   @Test
@@ -134,8 +134,8 @@
         "other", 1, List.of(new ServerUse("fast", 0, 1, 40), new ServerUse("slow", 0, 1, 80)), 20);
     viewWithoutSamples.beginRound(servers, 20);
     assertThat(
-        viewWithoutSamples.estimate(ServerStart.of("slow"), 20).relativePace(), equalTo(2.0));
-    assertThat(viewWithoutSamples.slowServers(), contains(ServerStart.of("slow")));
+        viewWithoutSamples.estimate(ServerIncarnation.of("slow"), 20).relativePace(), equalTo(2.0));
+    assertThat(viewWithoutSamples.slowServers(), contains(ServerIncarnation.of("slow")));
   }
 
   @Test
@@ -145,13 +145,13 @@
     picker.beginRound(justAnnounced, 20);
     for (String chosen : List.of("fast", "slow")) {
       ItemExecution execution = item(1_000);
-      execution.server = ServerStart.of(chosen);
+      execution.server = ServerIncarnation.of(chosen);
       assertThat(choose(1_000), equalTo(chosen));
       picker.onSent(execution);
     }
     assertThat(picker.choose(item(1_000), 20), equalTo(Optional.empty()));
     ItemExecution refused = item(1_000);
-    refused.server = ServerStart.of("fast");
+    refused.server = ServerIncarnation.of("fast");
     picker.removePending(refused);
     picker.onRefused(refused, 25);
     assertThat(picker.choose(item(1_000), 890), equalTo(Optional.empty()));
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.job.JobScheduler.Failure;
 import org.passhaven.protocol.job.JobItem;
 import org.passhaven.protocol.job.JobSubmission;
@@ -34,7 +34,7 @@
 
   private static ServerEntry server(String name, long version) {
     return new ServerEntry(
-        ServerStart.of(name), "llm", name + ":1", "z", 2, true, Map.of("m", version));
+        ServerIncarnation.of(name), "llm", name + ":1", "z", 2, true, Map.of("m", version));
   }
 
   private static JobItem item(String id, String group, long tokens, boolean scored) {
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.job.JobAction.Start;
 import org.passhaven.core.job.JobScheduler.Failure;
 import org.passhaven.protocol.job.JobItem;
@@ -24,7 +24,8 @@
   private final JobScheduler scheduler = new JobScheduler("z");
 
   private static ServerEntry server(String name) {
-    return new ServerEntry(ServerStart.of(name), "llm", name + ":1", "z", 2, true, Map.of("m", 1L));
+    return new ServerEntry(
+        ServerIncarnation.of(name), "llm", name + ":1", "z", 2, true, Map.of("m", 1L));
   }
 
   private List<Start> decide(long nowMillis) {
--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
@@ -11,14 +11,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 class VersionOrderPlannerTest {
   private final VersionOrderPlanner planner = new VersionOrderPlanner(new LoadLimit(2, 0.3));
 
   private static ServerEntry server(String name, long m, long n) {
     return new ServerEntry(
-        ServerStart.of(name), "llm", name + ":1", "z", 8, true, Map.of("m", m, "n", n));
+        ServerIncarnation.of(name), "llm", name + ":1", "z", 8, true, Map.of("m", m, "n", n));
   }
 
   private static WeightDemand demand(Map<String, Long> newest) {
@@ -37,7 +37,7 @@
     Map<String, Long> newest = Map.of("m", 2L);
     assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2", "b m 2"));
     assertThat(planner.begin(servers, demand(newest), 10), empty());
-    planner.onDone(ServerStart.of("a"));
+    planner.onDone(ServerIncarnation.of("a"));
     List<ServerEntry> loaded = List.of(server("a", 2, 1), server("b", 1, 1), server("c", 1, 1));
     assertThat(names(planner.begin(loaded, demand(newest), 20)), contains("c m 2"));
   }
@@ -62,7 +62,7 @@
     List<ServerEntry> servers = List.of(server("a", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L);
     planner.begin(servers, demand(newest), 0);
-    planner.onFailed(ServerStart.of("a"), 500);
+    planner.onFailed(ServerIncarnation.of("a"), 500);
     assertThat(planner.begin(servers, demand(newest), 499), empty());
     assertThat(names(planner.begin(servers, demand(newest), 500)), contains("a m 2"));
   }
@@ -77,7 +77,7 @@
   @Test
   void aLeavingServerGetsNoLoad() {
     ServerEntry leaving =
-        new ServerEntry(ServerStart.of("a"), "llm", "a:1", "z", 8, false, Map.of("m", 1L));
+        new ServerEntry(ServerIncarnation.of("a"), "llm", "a:1", "z", 8, false, Map.of("m", 1L));
     assertThat(planner.begin(List.of(leaving), demand(Map.of("m", 2L)), 0), empty());
   }
 
@@ -86,7 +86,7 @@
     List<ServerEntry> servers = List.of(server("a", 1, 1), server("b", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L, "n", 1L);
     assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2"));
-    planner.onUnreachable(ServerStart.of("a"), 1_500);
+    planner.onUnreachable(ServerIncarnation.of("a"), 1_500);
     assertThat(names(planner.begin(servers, demand(newest), 10)), contains("b m 2"));
   }
 }
--- a/core/src/test/java/org/passhaven/core/order/WeightPlacementTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightPlacementTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 class WeightPlacementTest {
   private static final List<String> MODELS = List.of("k", "m", "n");
@@ -21,10 +21,16 @@
 
   private static ServerEntry server(String name, long k, long m, long n) {
     return new ServerEntry(
-        ServerStart.of(name), "llm", name + ":1", "z", 8, true, Map.of("k", k, "m", m, "n", n));
+        ServerIncarnation.of(name),
+        "llm",
+        name + ":1",
+        "z",
+        8,
+        true,
+        Map.of("k", k, "m", m, "n", n));
   }
 
-  private static Set<String> serversOf(String model, Map<ServerStart, Set<String>> placed) {
+  private static Set<String> serversOf(String model, Map<ServerIncarnation, Set<String>> placed) {
     Set<String> servers = new TreeSet<>();
     placed.forEach(
         (server, models) -> {
@@ -45,7 +51,7 @@
 
   @Test
   void modelsGetEqualAndDisjointShares() {
-    Map<ServerStart, Set<String>> placed =
+    Map<ServerIncarnation, Set<String>> placed =
         placement.place(serversWithFirstVersions(6), MODELS, Map.of());
     for (String model : MODELS) {
       assertThat(serversOf(model, placed).size(), equalTo(2));
@@ -55,7 +61,7 @@
 
   @Test
   void theOnlyTrainedModelGetsEveryServer() {
-    Map<ServerStart, Set<String>> placed =
+    Map<ServerIncarnation, Set<String>> placed =
         placement.place(serversWithFirstVersions(6), List.of("m"), Map.of());
     assertThat(serversOf("m", placed).size(), equalTo(6));
   }
@@ -70,7 +76,7 @@
             server("d", 1, 1, 7),
             server("e", 1, 7, 1),
             server("f", 7, 1, 1));
-    Map<ServerStart, Set<String>> placed = placement.place(servers, MODELS, Map.of());
+    Map<ServerIncarnation, Set<String>> placed = placement.place(servers, MODELS, Map.of());
     assertThat(serversOf("k", placed), contains("c", "f"));
     assertThat(serversOf("m", placed), contains("b", "e"));
     assertThat(serversOf("n", placed), contains("a", "d"));
@@ -86,7 +92,7 @@
             server("d", 1, 7, 1),
             server("e", 1, 1, 7),
             server("f", 1, 1, 7));
-    Map<ServerStart, Set<String>> placed = placement.place(servers, MODELS, Map.of("k", 90));
+    Map<ServerIncarnation, Set<String>> placed = placement.place(servers, MODELS, Map.of("k", 90));
     assertThat(serversOf("k", placed).size(), equalTo(4));
     assertThat(serversOf("k", placed), hasItems("a", "b"));
     assertThat(serversOf("m", placed), contains("c", "d"));
@@ -103,7 +109,7 @@
             server("e", 1, 1, 7),
             server("f", 1, 1, 7),
             server("z", 1, 1, 1));
-    Map<ServerStart, Set<String>> placed = placement.place(servers, MODELS, Map.of());
+    Map<ServerIncarnation, Set<String>> placed = placement.place(servers, MODELS, Map.of());
     assertThat(serversOf("k", placed).size(), equalTo(2));
     assertThat(serversOf("k", placed), hasItems("b"));
     for (String model : MODELS) {
@@ -113,10 +119,11 @@
 
   @Test
   void serversHoldSeveralModelsIfThereAreFewerServersThanModels() {
-    Map<ServerStart, Set<String>> placed =
+    Map<ServerIncarnation, Set<String>> placed =
         placement.place(serversWithFirstVersions(2), MODELS, Map.of());
     assertThat(
-        placed.get(ServerStart.of("s0")).size() + placed.get(ServerStart.of("s1")).size(),
+        placed.get(ServerIncarnation.of("s0")).size()
+            + placed.get(ServerIncarnation.of("s1")).size(),
         equalTo(3));
     assertThat(serversOf("k", placed).size(), equalTo(1));
   }
@@ -124,11 +131,11 @@
   @Test
   void serversThatLeaveOrServeNoModelGetNoModel() {
     ServerEntry leaving =
-        new ServerEntry(ServerStart.of("x"), "llm", "x:1", "z", 8, false, Map.of("k", 1L));
+        new ServerEntry(ServerIncarnation.of("x"), "llm", "x:1", "z", 8, false, Map.of("k", 1L));
     ServerEntry portal =
-        new ServerEntry(ServerStart.of("p"), "portal", "p:1", "z", 8, true, Map.of());
-    Map<ServerStart, Set<String>> placed =
+        new ServerEntry(ServerIncarnation.of("p"), "portal", "p:1", "z", 8, true, Map.of());
+    Map<ServerIncarnation, Set<String>> placed =
         placement.place(List.of(leaving, portal, server("a", 1, 1, 1)), MODELS, Map.of());
-    assertThat(placed.keySet(), containsInAnyOrder(ServerStart.of("a")));
+    assertThat(placed.keySet(), containsInAnyOrder(ServerIncarnation.of("a")));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -10,7 +10,7 @@
 import java.util.Objects;
 import java.util.Set;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.crash.CrashTable;
 import org.passhaven.core.crash.CrashTable.Verdict;
 import org.passhaven.core.crash.RequestFingerprint;
@@ -155,7 +155,7 @@
     return crashDetector.onInterrupted(fingerprint, server);
   }
 
-  private void recordCrash(String fingerprint, ServerStart server) {
+  private void recordCrash(String fingerprint, ServerIncarnation server) {
     CrashNote.Ended note = new CrashNote.Ended(fingerprint, server.toString());
     int crashesBefore = table.crashes(fingerprint);
     applyNote(note);
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.job.ItemHistory;
 import org.passhaven.core.job.Job;
 import org.passhaven.core.job.JobAction;
@@ -297,7 +297,7 @@
     JobItem item = start.item();
     Call call = callOf(start.job(), item);
     long attempt = start.attempt();
-    ServerStart server = start.server().start();
+    ServerIncarnation server = start.server().start();
     LOG.atLevel(start.lastEvent() > 0 ? Level.INFO : Level.DEBUG)
         .addKeyValue("job", start.job().id())
         .addKeyValue("item", item.id())
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerTable;
 import org.passhaven.core.job.AnnouncedVersion;
 import org.passhaven.core.route.RouteTable;
@@ -145,7 +145,7 @@
   }
 
   /** Records that a server has loaded a weight version, which its entry may not show yet. */
-  public void onVersionLoaded(ServerStart start, String model, long version) {
+  public void onVersionLoaded(ServerIncarnation start, String model, long version) {
     ServerEntry before = servers.get(start);
     servers.onReached(start, model, version);
     if (!Objects.equals(before, servers.get(start))) {
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 
 /**
  * Detects whether a server crashed when a request at it was interrupted, by a probe and by the
@@ -25,12 +25,12 @@
   private final PlatformDirectory directory;
   private final Listener listener;
   private final List<Interruption> unresolved = new ArrayList<>();
-  private final Map<ServerStart, Uni<Boolean>> probesInFlight = new HashMap<>();
+  private final Map<ServerIncarnation, Uni<Boolean>> probesInFlight = new HashMap<>();
 
   /** Receives detected crashes. */
   interface Listener {
     /** Called when a server crashed while it ran a request. */
-    void onServerCrashed(String fingerprint, ServerStart server);
+    void onServerCrashed(String fingerprint, ServerIncarnation server);
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerUseExchange.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Set;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.job.ServerView;
 import org.passhaven.protocol.member.MemberBeat;
 import org.passhaven.protocol.member.ServerUse;
@@ -31,7 +31,7 @@
   private final GatewayContext context;
   private final JobLog log;
   private final ServerView view;
-  private Set<ServerStart> lastLoggedSlowServers = Set.of();
+  private Set<ServerIncarnation> lastLoggedSlowServers = Set.of();
   private long nextLogLineMillis;
 
   /** Creates the exchange and registers it with the membership agent. */
@@ -58,7 +58,7 @@
   }
 
   private void logSlow() {
-    Set<ServerStart> slow = view.slowServers();
+    Set<ServerIncarnation> slow = view.slowServers();
     if (lastLoggedSlowServers.containsAll(slow) || context.nowMillis() < nextLogLineMillis) {
       return;
     }
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.order.VersionOrderPlanner;
 import org.passhaven.core.order.VersionOrderPlanner.Wanted;
 import org.passhaven.core.order.WeightDemand;
@@ -50,7 +50,7 @@
   public void onRecord(DutyRecord record) {
     if (record instanceof DutyRecord.Reached reached) {
       directory.onVersionLoaded(
-          new ServerStart(reached.server(), reached.serverBornMillis()),
+          new ServerIncarnation(reached.server(), reached.serverBornMillis()),
           reached.model(),
           reached.version());
     }
@@ -185,7 +185,7 @@
   }
 
   private void onVersionReached(Wanted wanted) {
-    ServerStart server = wanted.server().start();
+    ServerIncarnation server = wanted.server().start();
     directory.onVersionLoaded(server, wanted.model(), wanted.version());
     duties.append(
         new DutyRecord.Reached(
--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -11,7 +11,7 @@
 import org.passhaven.core.admission.AdmissionRequest.Source;
 import org.passhaven.core.admission.AdmissionVerdict.Reject;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.ServiceShare;
 import org.passhaven.node.ManualTimers;
@@ -57,7 +57,7 @@
 
   private static List<ServerEntry> serversOf(String service) {
     return List.of(
-        new ServerEntry(ServerStart.of(service), service, "a:1", "z", 1, true, Map.of()));
+        new ServerEntry(ServerIncarnation.of(service), service, "a:1", "z", 1, true, Map.of()));
   }
 
   private void submit(String id, String service, Runnable whenRejected) {
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.crash.CrashTable.Verdict;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
@@ -79,7 +79,7 @@
   }
 
   private static ServerEntry server(String name, boolean ready) {
-    return new ServerEntry(ServerStart.of(name), "s", name + ":1", "z", 4, ready, Map.of());
+    return new ServerEntry(ServerIncarnation.of(name), "s", name + ":1", "z", 4, ready, Map.of());
   }
 
   private void addEntry(ServerEntry server) {
@@ -137,7 +137,7 @@
 
   private static ServerEntry serverStartedAt(String name, long bornMillis) {
     return new ServerEntry(
-        new ServerStart(name, bornMillis), "s", name + ":1", "z", 4, true, Map.of());
+        new ServerIncarnation(name, bornMillis), "s", name + ":1", "z", 4, true, Map.of());
   }
 
   private static void interrupt(CrashTracker node, ServerEntry server) {
@@ -231,7 +231,7 @@
     timers.advance(1_000);
     assertThat(node.hasNoSuspects(), is(true));
     removeEntry("a");
-    addEntry(new ServerEntry(ServerStart.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
+    addEntry(new ServerEntry(ServerIncarnation.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
     assertThat(node.verdict(FINGERPRINT), instanceOf(Verdict.Held.class));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerHealth;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.forward.ForwardPlan;
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.ServiceShare;
@@ -43,10 +43,10 @@
           0,
           true);
   private static final ServerEntry SERVER =
-      new ServerEntry(ServerStart.of("a"), "s", "a:1", "z", 6, true, Map.of());
+      new ServerEntry(ServerIncarnation.of("a"), "s", "a:1", "z", 6, true, Map.of());
   private final ManualTimers timers = new ManualTimers();
   private final List<PlatformException.Kind> failures = new ArrayList<>();
-  private final List<ServerStart> hedgeDue = new ArrayList<>();
+  private final List<ServerIncarnation> hedgeDue = new ArrayList<>();
   private final ForwardAttempts attempts =
       new ForwardAttempts(
           context(),
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.route.RequestLimits;
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.RouteTable;
@@ -258,7 +258,8 @@
 
     @Override
     public ServerEntry parseServer(String key, byte[] document) {
-      return new ServerEntry(ServerStart.of(key), "llm", "s:1", "z", 8, true, Map.of(MODEL, 1L));
+      return new ServerEntry(
+          ServerIncarnation.of(key), "llm", "s:1", "z", 8, true, Map.of(MODEL, 1L));
     }
   }
 }
--- a/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestAdmissionTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.passhaven.core.admission.AdmissionRequest.Source;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.route.RequestLimits;
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.RouteTable;
@@ -128,7 +128,8 @@
 
   private void list(String instance) {
     ServerEntry entry =
-        new ServerEntry(ServerStart.of(instance), "s", instance + ":1", "z", 6, true, Map.of());
+        new ServerEntry(
+            ServerIncarnation.of(instance), "s", instance + ":1", "z", 6, true, Map.of());
     tables.add("servers", List.of(new Entry(instance, Codec.encode(entry))));
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerSubset;
 import org.passhaven.core.placement.Member;
 import org.passhaven.core.route.Route;
@@ -159,7 +159,7 @@
 
   private ServerEntry entry(String instance) {
     String address = instance.charAt(0) + ":1";
-    return new ServerEntry(ServerStart.of(instance), "s", address, "z", 4, true, Map.of());
+    return new ServerEntry(ServerIncarnation.of(instance), "s", address, "z", 4, true, Map.of());
   }
 
   private void list(String instance) {
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.backend.ServerSubset;
 import org.passhaven.core.placement.Member;
 import org.passhaven.core.route.Route;
@@ -111,7 +111,7 @@
   private static ServerEntry entry(int i, boolean isReady) {
     String id = "s" + i;
     return new ServerEntry(
-        ServerStart.of(id), "s", id + ":1", "z" + i % 3, SLOTS_PER_SERVER, isReady, Map.of());
+        ServerIncarnation.of(id), "s", id + ":1", "z" + i % 3, SLOTS_PER_SERVER, isReady, Map.of());
   }
 
   @BeforeEach
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/ServerEntries.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/ServerEntries.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.protocol.Codec;
 import org.passhaven.simulator.gateway.SimulatedServers.Server;
 import org.passhaven.simulator.time.VirtualTime;
@@ -21,7 +21,7 @@
   private final VirtualTime time;
   private final SimulatedStore store;
   private final Map<String, byte[]> listed = new HashMap<>();
-  private final Set<ServerStart> draining = new HashSet<>();
+  private final Set<ServerIncarnation> draining = new HashSet<>();
   private List<Server> servers = List.of();
   private boolean inPlace;
 
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedServers.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedServers.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.passhaven.core.backend.ServerStart;
+import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.simulator.time.SimulatedProcess;
 import org.passhaven.simulator.time.VirtualTime;
 import org.passhaven.spi.BackEndException;
@@ -56,8 +56,8 @@
       return bornMillis == 0 ? name + "-" + start : name;
     }
 
-    ServerStart listedStart() {
-      return new ServerStart(instance(), bornMillis);
+    ServerIncarnation listedStart() {
+      return new ServerIncarnation(instance(), bornMillis);
     }
 
     /** Ends at once; a dark one says nothing any more. */
