--- a/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
@@ -9,17 +9,17 @@
  * not apply to the new one.
  *
  * @param id name under which the server is listed and addressed
- * @param bornMillis start time reported by the server, in milliseconds since 1970; zero if servers
+ * @param startMillis start time reported by the server, in milliseconds since 1970; zero if servers
  *     report none and get a new id after each start
  */
-public record ServerIncarnation(String id, long bornMillis)
+public record ServerIncarnation(String id, long startMillis)
     implements Comparable<ServerIncarnation> {
   private static final Comparator<ServerIncarnation> ORDER =
-      Comparator.comparing(ServerIncarnation::id).thenComparingLong(ServerIncarnation::bornMillis);
+      Comparator.comparing(ServerIncarnation::id).thenComparingLong(ServerIncarnation::startMillis);
 
   public ServerIncarnation {
     Objects.requireNonNull(id, "id");
-    if (bornMillis < 0) {
+    if (startMillis < 0) {
       throw new IllegalArgumentException("start time of server " + id + " must not be negative");
     }
   }
@@ -31,12 +31,12 @@
 
   /** Returns whether the server reports its start time. */
   public boolean isBornTold() {
-    return bornMillis > 0;
+    return startMillis > 0;
   }
 
   /** Returns whether {@code other} is a later incarnation of the same server. */
   public boolean isFollowedBy(ServerIncarnation other) {
-    return id.equals(other.id) && bornMillis < other.bornMillis;
+    return id.equals(other.id) && startMillis < other.startMillis;
   }
 
   @Override
@@ -46,6 +46,6 @@
 
   @Override
   public String toString() {
-    return isBornTold() ? id + "@" + bornMillis : id;
+    return isBornTold() ? id + "@" + startMillis : id;
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -64,7 +64,7 @@
 
   private ServerUse toServerUse(ServerIncarnation start, long nowMillis) {
     int pauseMillis = (int) Math.round(intervalTracker.sustainedMillis(start, nowMillis));
-    return new ServerUse(start.id(), start.bornMillis(), health.inProgress(start), pauseMillis);
+    return new ServerUse(start.id(), start.startMillis(), health.inProgress(start), pauseMillis);
   }
 
   /** Returns whether peers report generations at servers. */
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -105,7 +105,7 @@
 
   /** Returns whether the report is of another incarnation of the server. */
   private static boolean isOfOtherIncarnation(Wanted wanted, Report report) {
-    return report.bornMillis() != wanted.server().start().bornMillis();
+    return report.bornMillis() != wanted.server().start().startMillis();
   }
 
   private void order(Wanted wanted, long sequence) {
@@ -193,7 +193,7 @@
             context.settings().node(),
             context.incarnation(),
             server.id(),
-            server.bornMillis(),
+            server.startMillis(),
             wanted.model(),
             wanted.version()));
     planner.onDone(server);
