--- a/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns whether the server reports its start time. */
-  public boolean isBornTold() {
+  public boolean hasStartTime() {
     return startMillis > 0;
   }
 
@@ -46,6 +46,6 @@
 
   @Override
   public String toString() {
-    return isBornTold() ? id + "@" + startMillis : id;
+    return hasStartTime() ? id + "@" + startMillis : id;
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -25,7 +25,7 @@
       servers.put(start.id(), entry);
     } else if (known.start().equals(start)) {
       servers.put(start.id(), entry.withAtLeast(known.versions()));
-    } else if (!start.isBornTold()) {
+    } else if (!start.hasStartTime()) {
       servers.remove(start.id());
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -73,7 +73,7 @@
             hasEnded -> {
               if (hasEnded) {
                 listener.onServerCrashed(fingerprint, server.start());
-              } else if (server.start().isBornTold()) {
+              } else if (server.start().hasStartTime()) {
                 // A restarted server with the same id may have answered.
                 addUnresolved(new Interruption(fingerprint, server, interruptedAtMillis, true));
               }
