--- a/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
@@ -35,7 +35,7 @@
   }
 
   /** Returns whether {@code other} is a later incarnation of the same server. */
-  public boolean isFollowedBy(ServerIncarnation other) {
+  public boolean isSupersededBy(ServerIncarnation other) {
     return id.equals(other.id) && startMillis < other.startMillis;
   }
 
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -21,7 +21,7 @@
   public void put(ServerEntry entry) {
     ServerIncarnation start = entry.start();
     ServerEntry known = servers.get(start.id());
-    if (known == null || known.start().isFollowedBy(start)) {
+    if (known == null || known.start().isSupersededBy(start)) {
       servers.put(start.id(), entry);
     } else if (known.start().equals(start)) {
       servers.put(start.id(), entry.withAtLeast(known.versions()));
@@ -64,7 +64,7 @@
   /** Returns whether a later incarnation of the same server is listed. */
   public boolean isSucceeded(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
-    return entry != null && start.isFollowedBy(entry.start());
+    return entry != null && start.isSupersededBy(entry.start());
   }
 
   /** Returns whether this incarnation of a server accepts new requests. */
