--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -7,13 +7,13 @@
 /**
  * The registration of one server incarnation, as the server published it.
  *
- * @param start incarnation of the server that published this entry
+ * @param incarnation incarnation of the server that published this entry
  * @param slots number of requests that the server processes concurrently
  * @param ready whether the server accepts new requests
  * @param versions weight version by model; empty if the server has no models
  */
 public record ServerEntry(
-    ServerIncarnation start,
+    ServerIncarnation incarnation,
     String service,
     String address,
     String zone,
@@ -21,7 +21,7 @@
     boolean ready,
     Map<String, Long> versions) {
   public ServerEntry {
-    Objects.requireNonNull(start, "start");
+    Objects.requireNonNull(incarnation, "start");
     Objects.requireNonNull(service, "service");
     Objects.requireNonNull(address, "address");
     Objects.requireNonNull(zone, "zone");
@@ -35,7 +35,7 @@
   public ServerEntry withAtLeast(Map<String, Long> minVersions) {
     Map<String, Long> merged = new HashMap<>(versions);
     minVersions.forEach((model, version) -> merged.merge(model, version, Math::max));
-    return new ServerEntry(start, service, address, zone, slots, ready, merged);
+    return new ServerEntry(incarnation, service, address, zone, slots, ready, merged);
   }
 
   /** Returns the weight version of a model, or zero if the server does not report serving it. */
--- a/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
@@ -40,9 +40,11 @@
   public Optional<ServerEntry> pick(
       Collection<ServerEntry> servers, Set<ServerIncarnation> excluded, long nowMillis) {
     List<ServerEntry> allowed =
-        servers.stream().filter(server -> !excluded.contains(server.start())).toList();
+        servers.stream().filter(server -> !excluded.contains(server.incarnation())).toList();
     List<ServerEntry> healthy =
-        allowed.stream().filter(server -> !health.isAvoided(server.start(), nowMillis)).toList();
+        allowed.stream()
+            .filter(server -> !health.isAvoided(server.incarnation(), nowMillis))
+            .toList();
     List<ServerEntry> candidates = healthy.isEmpty() ? allowed : healthy;
     double fastest = fastestMillis(candidates, nowMillis);
     return candidates.stream()
@@ -54,14 +56,14 @@
    * node does not use, and is not slow compared with its peers.
    */
   public boolean isGood(ServerEntry server, Collection<ServerEntry> peers, long nowMillis) {
-    return !health.isAvoided(server.start(), nowMillis)
-        && health.inProgress(server.start()) < Math.max(1, server.slots())
+    return !health.isAvoided(server.incarnation(), nowMillis)
+        && health.inProgress(server.incarnation()) < Math.max(1, server.slots())
         && !isSlow(server, fastestMillis(peers, nowMillis), nowMillis);
   }
 
   private double fastestMillis(Collection<ServerEntry> servers, long nowMillis) {
     return servers.stream()
-        .mapToDouble(server -> health.latencyMillis(server.start(), nowMillis))
+        .mapToDouble(server -> health.latencyMillis(server.incarnation(), nowMillis))
         .filter(latency -> latency > 0)
         .min()
         .orElse(0);
@@ -69,11 +71,12 @@
 
   private boolean isSlow(ServerEntry server, double fastestMillis, long nowMillis) {
     return fastestMillis > 0
-        && health.latencyMillis(server.start(), nowMillis) > SLOW_LATENCY_FACTOR * fastestMillis;
+        && health.latencyMillis(server.incarnation(), nowMillis)
+            > SLOW_LATENCY_FACTOR * fastestMillis;
   }
 
   private double cost(ServerEntry server, double fastestMillis, long nowMillis) {
-    double cost = health.inProgress(server.start()) / (double) Math.max(1, server.slots());
+    double cost = health.inProgress(server.incarnation()) / (double) Math.max(1, server.slots());
     if (!isNear.test(server)) {
       cost += OTHER_ZONE_COST;
     }
--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -80,7 +80,7 @@
       ServerEntry server = servers.get(i);
       ServerEntry other = others.get(i);
       boolean isSame =
-          server.start().equals(other.start())
+          server.incarnation().equals(other.incarnation())
               && server.zone().equals(other.zone())
               && server.slots() == other.slots();
       if (!isSame) {
@@ -93,9 +93,11 @@
   /** Returns this subset with each entry replaced by its newest version. */
   public ServerSubset withEntries(Collection<ServerEntry> newest) {
     Map<ServerIncarnation, ServerEntry> byStart =
-        newest.stream().collect(Collectors.toMap(ServerEntry::start, Function.identity()));
+        newest.stream().collect(Collectors.toMap(ServerEntry::incarnation, Function.identity()));
     return new ServerSubset(
-        byPreference.stream().map(server -> byStart.getOrDefault(server.start(), server)).toList(),
+        byPreference.stream()
+            .map(server -> byStart.getOrDefault(server.incarnation(), server))
+            .toList(),
         size);
   }
 
@@ -108,9 +110,9 @@
   private static Comparator<ServerEntry> preferenceOrderOf(Member node) {
     return Comparator.comparing((ServerEntry server) -> !server.zone().equals(node.zone()))
         .thenComparing(
-            server -> Rendezvous.weight(node.name(), server.start().toString()),
+            server -> Rendezvous.weight(node.name(), server.incarnation().toString()),
             Comparator.reverseOrder())
-        .thenComparing(ServerEntry::start);
+        .thenComparing(ServerEntry::incarnation);
   }
 
   /**
@@ -122,8 +124,8 @@
     if (earlier.byPreference.isEmpty()) {
       return this;
     }
-    List<ServerIncarnation> starts = byPreference.stream().map(ServerEntry::start).toList();
-    int index = starts.indexOf(earlier.byPreference.get(0).start());
+    List<ServerIncarnation> starts = byPreference.stream().map(ServerEntry::incarnation).toList();
+    int index = starts.indexOf(earlier.byPreference.get(0).incarnation());
     if (index < 0 || index >= size) {
       return this;
     }
@@ -184,6 +186,7 @@
 
   /** Returns whether a server is in the subset. */
   public boolean contains(ServerIncarnation start) {
-    return byPreference.subList(0, size).stream().anyMatch(server -> server.start().equals(start));
+    return byPreference.subList(0, size).stream()
+        .anyMatch(server -> server.incarnation().equals(start));
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -19,11 +19,11 @@
    * of a server that reports one comes from another writer and removes the server.
    */
   public void put(ServerEntry entry) {
-    ServerIncarnation start = entry.start();
+    ServerIncarnation start = entry.incarnation();
     ServerEntry known = servers.get(start.id());
-    if (known == null || known.start().isSupersededBy(start)) {
+    if (known == null || known.incarnation().isSupersededBy(start)) {
       servers.put(start.id(), entry);
-    } else if (known.start().equals(start)) {
+    } else if (known.incarnation().equals(start)) {
       servers.put(start.id(), entry.withAtLeast(known.versions()));
     } else if (!start.hasStartTime()) {
       servers.remove(start.id());
@@ -35,7 +35,7 @@
     servers.computeIfPresent(
         start.id(),
         (id, entry) ->
-            entry.start().equals(start) ? entry.withAtLeast(Map.of(model, version)) : entry);
+            entry.incarnation().equals(start) ? entry.withAtLeast(Map.of(model, version)) : entry);
   }
 
   /** Removes the entry of a server that is no longer listed or whose entry is invalid. */
@@ -58,13 +58,13 @@
    */
   public ServerEntry get(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
-    return entry != null && entry.start().equals(start) ? entry : null;
+    return entry != null && entry.incarnation().equals(start) ? entry : null;
   }
 
   /** Returns whether a later incarnation of the same server is listed. */
   public boolean isSucceeded(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
-    return entry != null && start.isSupersededBy(entry.start());
+    return entry != null && start.isSupersededBy(entry.incarnation());
   }
 
   /** Returns whether this incarnation of a server accepts new requests. */
--- a/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
+++ b/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
@@ -34,7 +34,7 @@
                         (Member node) -> Rendezvous.weight(NODE_ORDER_KEY, node.name()))
                     .thenComparing(Member::name))
             .toList();
-    this.servers = servers.stream().sorted(Comparator.comparing(ServerEntry::start)).toList();
+    this.servers = servers.stream().sorted(Comparator.comparing(ServerEntry::incarnation)).toList();
     this.weights = new long[this.nodes.size()][servers.size()];
     this.chosen = new boolean[this.nodes.size()][servers.size()];
     this.nodesOfServer = new int[servers.size()];
@@ -44,7 +44,7 @@
   }
 
   private void computeWeights() {
-    List<String> names = servers.stream().map(server -> server.start().toString()).toList();
+    List<String> names = servers.stream().map(server -> server.incarnation().toString()).toList();
     for (int node = 0; node < nodes.size(); node++) {
       for (int server = 0; server < names.size(); server++) {
         weights[node][server] = Rendezvous.weight(nodes.get(node).name(), names.get(server));
--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -114,7 +114,7 @@
         untried.isPresent() || inProgress > 0 ? untried : picker.pick(servers, Set.of(), nowMillis);
     chosen.ifPresent(
         server -> {
-          triedServers.add(server.start());
+          triedServers.add(server.incarnation());
           inProgress++;
         });
     return chosen;
--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -64,12 +64,12 @@
         .min(
             Comparator.comparingDouble((ServerEntry server) -> cost(execution, server, nowMillis))
                 .thenComparingLong(this::tieBreak)
-                .thenComparing(ServerEntry::start));
+                .thenComparing(ServerEntry::incarnation));
   }
 
   /** Returns a rank that differs by node, so that nodes choose different servers of equal cost. */
   private long tieBreak(ServerEntry server) {
-    return view.hasPeerReports() ? Rendezvous.weight(node, server.start().id()) : 0;
+    return view.hasPeerReports() ? Rendezvous.weight(node, server.incarnation().id()) : 0;
   }
 
   /** Remembers the server that has the group's prompt in its cache. */
@@ -119,16 +119,17 @@
       return Optional.empty();
     }
     return choose(execution, nowMillis)
-        .filter(server -> !server.start().equals(execution.server))
+        .filter(server -> !server.incarnation().equals(execution.server))
         .filter(server -> isNotLoading(execution, server))
         .filter(
             server ->
                 currentIntervalMillis
-                    >= MIN_MOVE_RATIO * view.sustainedIntervalMillis(server.start()))
+                    >= MIN_MOVE_RATIO * view.sustainedIntervalMillis(server.incarnation()))
         .filter(
             server ->
                 remainingEvents
-                        * (currentIntervalMillis - view.sustainedIntervalMillis(server.start()))
+                        * (currentIntervalMillis
+                            - view.sustainedIntervalMillis(server.incarnation()))
                     >= MIN_MOVE_GAIN_MILLIS);
   }
 
@@ -154,13 +155,13 @@
     return isVersionAllowed
         && refusals.maySend(
             server, model, servers.versionToLoad(server, model, nowMillis), nowMillis)
-        && !view.health().isAvoided(server.start(), nowMillis)
-        && view.health().inProgress(server.start()) < Math.max(1, server.slots());
+        && !view.health().isAvoided(server.incarnation(), nowMillis)
+        && view.health().inProgress(server.incarnation()) < Math.max(1, server.slots());
   }
 
   /** Returns the expected time of the remaining text at a server, plus penalties. */
   private double cost(ItemExecution execution, ServerEntry server, long nowMillis) {
-    ServerIncarnation start = server.start();
+    ServerIncarnation start = server.incarnation();
     double cost = view.expectedMillis(remainingEvents(execution), start) + loadCost(server);
     if (start.equals(serverByGroup.get(execution.item.group()))) {
       cost -= AFFINITY_GAIN_MILLIS;
@@ -177,7 +178,7 @@
   /** Returns the cost of a server's load by all nodes, which is higher once its slots are full. */
   private double loadCost(ServerEntry server) {
     int slots = Math.max(1, server.slots());
-    int slotsInUse = view.slotsInUse(server.start());
+    int slotsInUse = view.slotsInUse(server.incarnation());
     int queued = Math.max(0, slotsInUse + 1 - slots);
     return FULL_SERVER_COST_MILLIS * Math.min(slots, slotsInUse) / slots
         + QUEUED_GENERATION_COST_MILLIS * queued;
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -241,11 +241,11 @@
       int priority,
       long nowMillis,
       List<JobAction> actions) {
-    execution.startAttempt(nextAttempt++, server.start(), nowMillis);
+    execution.startAttempt(nextAttempt++, server.incarnation(), nowMillis);
     generating.put(execution.attempt, execution);
-    health.onSent(server.start());
+    health.onSent(server.incarnation());
     picker.onSent(execution);
-    picker.rememberServerOfGroup(execution.item.group(), server.start());
+    picker.rememberServerOfGroup(execution.item.group(), server.incarnation());
     actions.add(
         new JobAction.Start(
             execution.attempt,
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -24,7 +24,7 @@
     this.announcedVersions = Objects.requireNonNull(named, "named");
     servers.stream()
         .filter(ServerEntry::ready)
-        .forEach(server -> byIncarnation.put(server.start(), server));
+        .forEach(server -> byIncarnation.put(server.incarnation(), server));
     byService =
         byIncarnation.values().stream()
             .collect(
@@ -49,7 +49,7 @@
   }
 
   List<ServerIncarnation> incarnationsOf(String service) {
-    return of(service).stream().map(ServerEntry::start).toList();
+    return of(service).stream().map(ServerEntry::incarnation).toList();
   }
 
   /** Returns the newest announced weight version of a model; zero if there is none. */
--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -121,7 +121,7 @@
 
   /** Returns whether a server refused the last generation of a model that it answered. */
   boolean isRefusing(ServerEntry server, String model) {
-    Backoff last = backoffs.get(new Key(server.start(), model));
+    Backoff last = backoffs.get(new Key(server.incarnation(), model));
     return last != null && last.heldVersion() == server.versionOf(model);
   }
 
@@ -133,13 +133,13 @@
    */
   boolean maySend(
       ServerEntry server, String model, Optional<AnnouncedVersion> newest, long nowMillis) {
-    Key key = new Key(server.start(), model);
+    Key key = new Key(server.incarnation(), model);
     boolean isRefusing = isRefusing(server, model);
     if (isRefusing && nowMillis < backoffs.get(key).untilMillis()) {
       return false;
     }
     int pendingCount = pending.getOrDefault(key, 0);
-    if (isRefusing || newServers.contains(server.start())) {
+    if (isRefusing || newServers.contains(server.incarnation())) {
       return pendingCount == 0;
     }
     return newest.isEmpty() || pendingCount <= acceptedCount(key, newest.get().version());
--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
@@ -41,15 +41,16 @@
             .filter(
                 server ->
                     nowMillis
-                        >= unreachableUntilMillis.getOrDefault(server.start(), Long.MIN_VALUE))
+                        >= unreachableUntilMillis.getOrDefault(
+                            server.incarnation(), Long.MIN_VALUE))
             .toList();
     Map<ServerIncarnation, Set<String>> placed =
         placement.place(reachable, demand.newestVersions().keySet(), demand.openItems());
     List<Wanted> due = new ArrayList<>();
     for (ServerEntry server : reachable) {
-      for (String model : new TreeSet<>(placed.getOrDefault(server.start(), Set.of()))) {
+      for (String model : new TreeSet<>(placed.getOrDefault(server.incarnation(), Set.of()))) {
         long version = demand.newestVersions().get(model);
-        if (server.versionOf(model) < version && !loading.containsKey(server.start())) {
+        if (server.versionOf(model) < version && !loading.containsKey(server.incarnation())) {
           due.add(new Wanted(server, model, version));
         }
       }
@@ -68,7 +69,9 @@
    */
   public List<Wanted> begin(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     removeExpired(nowMillis);
-    loading.keySet().removeIf(start -> servers.stream().noneMatch(s -> s.start().equals(start)));
+    loading
+        .keySet()
+        .removeIf(start -> servers.stream().noneMatch(s -> s.incarnation().equals(start)));
     List<Wanted> started = new ArrayList<>();
     while (true) {
       List<Wanted> due =
@@ -83,9 +86,9 @@
               .min(
                   Comparator.comparingLong((Wanted load) -> countLoadedOrLoading(servers, load))
                       .thenComparing(load -> load.server().versionOf(load.model()))
-                      .thenComparing(load -> load.server().start()))
+                      .thenComparing(load -> load.server().incarnation()))
               .orElseThrow();
-      loading.put(next.server().start(), next);
+      loading.put(next.server().incarnation(), next);
       started.add(next);
     }
   }
@@ -98,7 +101,7 @@
             .filter(load -> load.server().service().equals(server.service()))
             .count();
     return loadingInService < limit.of(serversInService)
-        && nowMillis >= notBeforeMillis.getOrDefault(server.start(), Long.MIN_VALUE);
+        && nowMillis >= notBeforeMillis.getOrDefault(server.incarnation(), Long.MIN_VALUE);
   }
 
   /** Returns the number of servers that have the version or are loading it. */
--- a/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
@@ -94,15 +94,16 @@
         .sorted(
             Comparator.comparingInt((ServerEntry server) -> modelsAt(server, placed).size())
                 .thenComparingLong(server -> -heldVersion.applyAsLong(server, model))
-                .thenComparing(ServerEntry::start))
+                .thenComparing(ServerEntry::incarnation))
         .limit(Math.max(0, wanted - assigned))
         .toList()
         .forEach(
-            server -> placed.computeIfAbsent(server.start(), key -> new HashSet<>()).add(model));
+            server ->
+                placed.computeIfAbsent(server.incarnation(), key -> new HashSet<>()).add(model));
   }
 
   private static Set<String> modelsAt(
       ServerEntry server, Map<ServerIncarnation, Set<String>> placed) {
-    return placed.getOrDefault(server.start(), Set.of());
+    return placed.getOrDefault(server.incarnation(), Set.of());
   }
 }
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -71,7 +71,8 @@
     this.random = new Random(seed);
     this.members = SubsetFixture.nodes(fleet, true, random);
     this.servers = SubsetFixture.servers(SERVERS, false, random);
-    servers.forEach(server -> running.put(server.start(), new Server(0.7 + random.nextDouble())));
+    servers.forEach(
+        server -> running.put(server.incarnation(), new Server(0.7 + random.nextDouble())));
     this.nodes = members.stream().map(Node::new).toList();
   }
 
@@ -127,14 +128,14 @@
     long sentAt = nowMillis;
     ServerEntry to = node.choose();
     node.connect(to);
-    node.health.onSent(to.start());
+    node.health.onSent(to.incarnation());
     running
-        .get(to.start())
+        .get(to.incarnation())
         .enqueue(
             workMillis,
             () -> {
-              node.health.onEnded(to.start());
-              node.health.onSuccess(to.start(), nowMillis - sentAt, nowMillis);
+              node.health.onEnded(to.incarnation());
+              node.health.onSuccess(to.incarnation(), nowMillis - sentAt, nowMillis);
               node.idle(to).add(nowMillis);
               times.add(nowMillis - sentAt);
             });
@@ -191,13 +192,13 @@
       inSubset =
           new ServerPicker(
               health,
-              server -> server.zone().equals(self.zone()) || subset.contains(server.start()));
+              server -> server.zone().equals(self.zone()) || subset.contains(server.incarnation()));
     }
 
     ServerEntry choose() {
       List<ServerEntry> byName =
-          servers.stream().sorted(Comparator.comparing(ServerEntry::start)).toList();
-      int own = servers.stream().mapToInt(server -> health.inProgress(server.start())).sum();
+          servers.stream().sorted(Comparator.comparing(ServerEntry::incarnation)).toList();
+      int own = servers.stream().mapToInt(server -> health.inProgress(server.incarnation())).sum();
       List<ServerEntry> candidates =
           subset
               .forUse(use.update(own + 1, nowMillis), turn++)
@@ -218,7 +219,7 @@
     }
 
     List<Long> idle(ServerEntry server) {
-      return idleSince.computeIfAbsent(server.start(), key -> new ArrayList<>());
+      return idleSince.computeIfAbsent(server.incarnation(), key -> new ArrayList<>());
     }
 
     void connect(ServerEntry server) {
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -55,7 +55,8 @@
     table.put(entry(ServerIncarnation.of("b"), true, 1));
     table.put(entry(ServerIncarnation.of("a"), true, 1));
     assertThat(
-        table.all().stream().map(ServerEntry::start).toList(), contains(ServerIncarnation.of("b")));
+        table.all().stream().map(ServerEntry::incarnation).toList(),
+        contains(ServerIncarnation.of("b")));
   }
 
   @Test
--- a/core/src/test/java/org/passhaven/core/backend/SubsetAlgorithm.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetAlgorithm.java
@@ -47,7 +47,8 @@
   private static List<ServerEntry> heaviest(Member node, List<ServerEntry> servers, int size) {
     return servers.stream()
         .sorted(
-            Comparator.comparingLong(server -> Rendezvous.weight(node.name(), server.start().id())))
+            Comparator.comparingLong(
+                server -> Rendezvous.weight(node.name(), server.incarnation().id())))
         .limit(size)
         .toList();
   }
--- a/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
+++ b/core/src/test/java/org/passhaven/core/backend/SubsetFixture.java
@@ -58,7 +58,7 @@
     int choices = 0;
     for (List<ServerEntry> subset : subsets.values()) {
       for (ServerEntry server : subset.subList(0, Math.min(first, subset.size()))) {
-        nodesOf.merge(server.start(), 1, Integer::sum);
+        nodesOf.merge(server.incarnation(), 1, Integer::sum);
         choices++;
       }
     }
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -48,7 +48,7 @@
   }
 
   private Optional<String> next(ForwardPlan plan, long now) {
-    return plan.next(servers, picker, now).map(server -> server.start().id());
+    return plan.next(servers, picker, now).map(server -> server.incarnation().id());
   }
 
   @Test
--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -50,7 +50,7 @@
   }
 
   private String choose(long expectedTokens) {
-    return picker.choose(item(expectedTokens), 20).orElseThrow().start().id();
+    return picker.choose(item(expectedTokens), 20).orElseThrow().incarnation().id();
   }
 
   private void addGenerations(String server, int generations) {
@@ -156,7 +156,7 @@
     picker.onRefused(refused, 25);
     assertThat(picker.choose(item(1_000), 890), equalTo(Optional.empty()));
     ServerEntry loaded =
-        new ServerEntry(FAST.start(), "llm", "fast:1", "z", 12, true, Map.of("m", 2L));
+        new ServerEntry(FAST.incarnation(), "llm", "fast:1", "z", 12, true, Map.of("m", 2L));
     picker.beginRound(
         new ReadyServers(List.of(loaded, SLOW), Map.of("m", new AnnouncedVersion(2, 0))), 890);
     assertThat(picker.choose(item(1_000), 890), equalTo(Optional.of(loaded)));
@@ -167,7 +167,7 @@
     ServerEntry started = server("a-new-one");
     picker.beginRound(new ReadyServers(List.of(started), Map.of()), 30);
     ItemExecution execution = item(100);
-    execution.server = started.start();
+    execution.server = started.incarnation();
     picker.onSent(execution);
     assertThat(picker.choose(item(100), 30), equalTo(Optional.empty()));
     picker.onAccepted(execution);
--- a/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobSchedulerTest.java
@@ -141,7 +141,7 @@
     scheduler.onFailed(first.attempt(), Failure.CONNECTION_LOST, 120);
     JobAction.Start second = decideSingleStart(servers, 200);
     assertThat(second.lastEvent(), equalTo(3L));
-    assertThat(second.server().start().id(), not(equalTo(first.server().start().id())));
+    assertThat(second.server().incarnation().id(), not(equalTo(first.server().incarnation().id())));
   }
 
   @Test
@@ -159,7 +159,7 @@
     scheduler.startOrUpdate(job("j", 0, 5, item("x", "g", 0, false)), POLICY, NO_SAVED_TEXTS);
     assertThat(scheduler.decide(List.of(server("a", 4)), NO_ANNOUNCED_VERSIONS, 0), empty());
     assertThat(
-        decideSingleStart(List.of(server("a", 4), server("b", 5)), 1).server().start().id(),
+        decideSingleStart(List.of(server("a", 4), server("b", 5)), 1).server().incarnation().id(),
         is("b"));
   }
 
@@ -176,7 +176,7 @@
     scheduler.startOrUpdate(job("j", 0, 4, items), POLICY, NO_SAVED_TEXTS);
     List<String> chosen =
         startActions(scheduler.decide(servers, announced, 2_000)).stream()
-            .map(start -> start.server().start().id())
+            .map(start -> start.server().incarnation().id())
             .toList();
     assertThat(chosen, contains("b", "b", "a", "a"));
   }
@@ -189,7 +189,7 @@
         job("j", 0, 4, item("x", "g", 2, false), item("y", "h", 1, false)), POLICY, NO_SAVED_TEXTS);
     List<String> chosen =
         startActions(scheduler.decide(servers, announced, 100)).stream()
-            .map(start -> start.server().start().id())
+            .map(start -> start.server().incarnation().id())
             .toList();
     assertThat(chosen, contains("a", "b"));
   }
@@ -261,7 +261,7 @@
     assertThat(actions, contains(instanceOf(JobAction.Stop.class)));
     JobAction.Start second = decideSingleStart(servers, 1_001);
     assertThat(second.lastEvent(), equalTo(2L));
-    assertThat(second.server().start().id(), not(equalTo(first.server().start().id())));
+    assertThat(second.server().incarnation().id(), not(equalTo(first.server().incarnation().id())));
   }
 
   @Test
@@ -374,7 +374,7 @@
         startActions(
             scheduler.decide(List.of(server("a", 1), server("b", 1)), NO_ANNOUNCED_VERSIONS, 0));
     assertThat(
-        started.stream().map(start -> start.server().start().id()).toList(),
+        started.stream().map(start -> start.server().incarnation().id()).toList(),
         containsInAnyOrder("a", "a", "b", "b"));
   }
 
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -176,7 +176,7 @@
     Map<String, Integer> openItems = new HashMap<>();
     owners.forEach(owner -> openItems.put(owner.model, owner.openItems()));
     for (Wanted order : planner.begin(entries(), new WeightDemand(newest, openItems), now)) {
-      FakeModelServer server = server(order.server().start().id());
+      FakeModelServer server = server(order.server().incarnation().id());
       server.beginLoad(order.model());
       loads++;
       schedule(
--- a/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
+++ b/core/src/test/java/org/passhaven/core/job/SimulatedOwner.java
@@ -129,7 +129,7 @@
   private void apply(List<JobAction> actions) {
     for (JobAction action : actions) {
       if (action instanceof JobAction.Start start) {
-        FakeModelServer server = simulation.server(start.server().start().id());
+        FakeModelServer server = simulation.server(start.server().incarnation().id());
         simulation.send(
             new PlacementSimulation.Generation(this, start.attempt(), server),
             model,
--- a/core/src/test/java/org/passhaven/core/job/StallTest.java
+++ b/core/src/test/java/org/passhaven/core/job/StallTest.java
@@ -36,7 +36,9 @@
   }
 
   private static Set<String> serversOf(List<Start> starts) {
-    return starts.stream().map(start -> start.server().start().id()).collect(Collectors.toSet());
+    return starts.stream()
+        .map(start -> start.server().incarnation().id())
+        .collect(Collectors.toSet());
   }
 
   /** Starts two items at each of two servers; each has its first event at 100 ms. */
@@ -63,7 +65,7 @@
   void singleStalledServerIsAvoidedForAWhile() {
     List<Long> attemptsAtOther =
         startFourGenerations().stream()
-            .filter(start -> start.server().start().id().equals("b"))
+            .filter(start -> start.server().incarnation().id().equals("b"))
             .map(Start::attempt)
             .toList();
     attemptsAtOther.forEach(attempt -> scheduler.onEvent(attempt, 2, 0, "two", 700));
--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
@@ -27,7 +27,7 @@
 
   private static List<String> names(List<VersionOrderPlanner.Wanted> loads) {
     return loads.stream()
-        .map(load -> load.server().start().id() + " " + load.model() + " " + load.version())
+        .map(load -> load.server().incarnation().id() + " " + load.model() + " " + load.version())
         .toList();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -58,7 +58,7 @@
   void send(ServerEntry server, boolean isHedge) {
     int attempt = attemptsSent++;
     long sentAtMillis = context.nowMillis();
-    health.onSent(server.start());
+    health.onSent(server.incarnation());
     inProgress.put(attempt, () -> {});
     Call attemptCall = withTimeLeft(sentAtMillis);
     Target target = ServerTargets.of(server);
@@ -66,7 +66,7 @@
     Cancellable sending =
         (isHedge ? backEnds.callAnew(target, attemptCall) : backEnds.call(target, attemptCall))
             .onTermination()
-            .invoke(() -> health.onEnded(server.start()))
+            .invoke(() -> health.onEnded(server.incarnation()))
             .subscribe()
             .with(
                 answer -> {
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -297,7 +297,7 @@
     JobItem item = start.item();
     Call call = callOf(start.job(), item);
     long attempt = start.attempt();
-    ServerIncarnation server = start.server().start();
+    ServerIncarnation server = start.server().incarnation();
     LOG.atLevel(start.lastEvent() > 0 ? Level.INFO : Level.DEBUG)
         .addKeyValue("job", start.job().id())
         .addKeyValue("item", item.id())
@@ -357,7 +357,7 @@
     LOG.atLevel(failure.kind() == BackEndException.Kind.REFUSED ? Level.DEBUG : Level.INFO)
         .addKeyValue("job", start.job().id())
         .addKeyValue("item", start.item().id())
-        .addKeyValue("server", start.server().start())
+        .addKeyValue("server", start.server().incarnation())
         .addKeyValue("kind", failure.kind())
         .addKeyValue("reason", failure.getMessage())
         .log("job: generation failed");
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -80,7 +80,7 @@
         () ->
             health.retain(
                 directory.servers().all().stream()
-                    .map(ServerEntry::start)
+                    .map(ServerEntry::incarnation)
                     .collect(Collectors.toSet())));
   }
 
@@ -208,7 +208,7 @@
         reportRunOnce(sentAtMillis);
       }
       if (outcome == Outcome.SUCCESS) {
-        health.onSuccess(server.start(), now - sentAtMillis, now);
+        health.onSuccess(server.incarnation(), now - sentAtMillis, now);
         slot.onAnswer(now - sentAtMillis);
       } else if (outcome == Outcome.NOT_RUN) {
         onNotRun(server, answer.status() != MISDIRECTED_STATUS);
@@ -222,7 +222,7 @@
 
     private void onNotRun(ServerEntry server, boolean isFull) {
       long avoidedMillis = isFull ? FULL_AVOIDED_MILLIS : MISDIRECTED_AVOIDED_MILLIS;
-      health.avoid(server.start(), avoidedMillis, context.nowMillis());
+      health.avoid(server.incarnation(), avoidedMillis, context.nowMillis());
       if (isFull) {
         slot.onFull();
       }
@@ -236,9 +236,9 @@
       }
       boolean heldBack = failure.kind() == PlatformException.Kind.HELD_BACK;
       if (heldBack) {
-        health.avoid(server.start(), FULL_AVOIDED_MILLIS, context.nowMillis());
+        health.avoid(server.incarnation(), FULL_AVOIDED_MILLIS, context.nowMillis());
       } else {
-        health.onFailure(server.start(), context.nowMillis());
+        health.onFailure(server.incarnation(), context.nowMillis());
       }
       boolean notRun = heldBack || failure.kind() == PlatformException.Kind.NOT_RUN;
       Outcome outcome = notRun ? Outcome.NOT_RUN : Outcome.UNKNOWN;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
@@ -39,7 +39,7 @@
   void onHedgeDue(ServerEntry server) {
     LOG.atDebug()
         .addKeyValue("request", call.id())
-        .addKeyValue("server", server.start())
+        .addKeyValue("server", server.incarnation())
         .log("request: no answer within the hedge delay, sending to another server");
   }
 
@@ -52,7 +52,7 @@
         .addKeyValue("request", call.id())
         .addKeyValue("route", route.name())
         .addKeyValue("path", path())
-        .addKeyValue("server", server.start())
+        .addKeyValue("server", server.incarnation())
         .addKeyValue("outcome", outcome)
         .addKeyValue("reason", reason)
         .addKeyValue("afterMillis", context.nowMillis() - startedAtMillis)
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -70,7 +70,8 @@
     service.activeSubset = service.subset.forUse(peak, service.rotation++);
     List<ServerEntry> servers =
         service.activeSubset.candidates(
-            server -> !plan.hasTried(server.start()) && picker.isGood(server, service.ready, now));
+            server ->
+                !plan.hasTried(server.incarnation()) && picker.isGood(server, service.ready, now));
     if (servers.size() > service.activeSubset.size()) {
       context.metrics().subsetsWidened.increment();
     }
@@ -117,7 +118,7 @@
   }
 
   private int inProgress(Service service) {
-    return service.ready.stream().mapToInt(server -> health.inProgress(server.start())).sum();
+    return service.ready.stream().mapToInt(server -> health.inProgress(server.incarnation())).sum();
   }
 
   /** Returns whether a server is in this node's zone or in a subset, which is chosen by zone. */
@@ -126,6 +127,6 @@
     return server.zone().equals(self.zone())
         || (service != null
             && service.activeSubset.isNarrowed()
-            && service.activeSubset.contains(server.start()));
+            && service.activeSubset.contains(server.incarnation()));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -59,21 +59,21 @@
    */
   Uni<Void> onInterrupted(String fingerprint, ServerEntry server) {
     // An interruption at a server that shuts down as planned is not a crash.
-    if (directory.servers().isSucceeded(server.start())) {
-      listener.onServerCrashed(fingerprint, server.start());
+    if (directory.servers().isSucceeded(server.incarnation())) {
+      listener.onServerCrashed(fingerprint, server.incarnation());
       return Uni.createFrom().voidItem();
     }
-    if (!directory.servers().isReady(server.start())) {
+    if (!directory.servers().isReady(server.incarnation())) {
       return Uni.createFrom().voidItem();
     }
     long interruptedAtMillis = context.nowMillis();
     return probesInFlight
-        .computeIfAbsent(server.start(), start -> probe(server))
+        .computeIfAbsent(server.incarnation(), start -> probe(server))
         .invoke(
             hasEnded -> {
               if (hasEnded) {
-                listener.onServerCrashed(fingerprint, server.start());
-              } else if (server.start().hasStartTime()) {
+                listener.onServerCrashed(fingerprint, server.incarnation());
+              } else if (server.incarnation().hasStartTime()) {
                 // A restarted server with the same id may have answered.
                 addUnresolved(new Interruption(fingerprint, server, interruptedAtMillis, true));
               }
@@ -93,7 +93,7 @@
         .backEnds()
         .hasEnded(ServerTargets.of(server), PROBE_TIMEOUT_MILLIS)
         .onTermination()
-        .invoke(() -> probesInFlight.remove(server.start()))
+        .invoke(() -> probesInFlight.remove(server.incarnation()))
         .memoize()
         .indefinitely();
   }
@@ -112,13 +112,13 @@
     }
     long now = context.nowMillis();
     for (Interruption interruption : List.copyOf(unresolved)) {
-      ServerEntry entry = directory.servers().get(interruption.server().start());
+      ServerEntry entry = directory.servers().get(interruption.server().incarnation());
       boolean isExpired = now - interruption.interruptedAtMillis() >= ENTRY_REMOVAL_TIMEOUT_MILLIS;
       boolean isShuttingDown = entry != null && !entry.ready();
       boolean isRemoved = entry == null && !interruption.hasAnswered();
       boolean hasEnded = isRemoved || isSuperseded(interruption.server());
       if (hasEnded && !isExpired) {
-        listener.onServerCrashed(interruption.fingerprint(), interruption.server().start());
+        listener.onServerCrashed(interruption.fingerprint(), interruption.server().incarnation());
       }
       if (hasEnded || isExpired || isShuttingDown) {
         unresolved.remove(interruption);
@@ -130,6 +130,7 @@
     return directory.servers().all().stream()
         .anyMatch(
             other ->
-                other.address().equals(server.address()) && !other.start().equals(server.start()));
+                other.address().equals(server.address())
+                    && !other.incarnation().equals(server.incarnation()));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerTargets.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerTargets.java
@@ -8,6 +8,6 @@
   private ServerTargets() {}
 
   static Target of(ServerEntry server) {
-    return new Target(server.start().id(), server.address());
+    return new Target(server.incarnation().id(), server.address());
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -105,7 +105,7 @@
 
   /** Returns whether the report is of another incarnation of the server. */
   private static boolean isOfOtherIncarnation(Wanted wanted, Report report) {
-    return report.bornMillis() != wanted.server().start().startMillis();
+    return report.bornMillis() != wanted.server().incarnation().startMillis();
   }
 
   private void order(Wanted wanted, long sequence) {
@@ -117,7 +117,7 @@
         new Order(
             wanted.model(), wanted.version(), context.settings().node(), duties.epoch(), sequence);
     LOG.atInfo()
-        .addKeyValue("server", wanted.server().start())
+        .addKeyValue("server", wanted.server().incarnation())
         .addKeyValue("model", wanted.model())
         .addKeyValue("version", wanted.version())
         .addKeyValue("fence", duties.epoch())
@@ -153,7 +153,7 @@
 
   /** Polls the server until it has loaded the version or the time limit has passed. */
   private void pollLoad(Wanted wanted, long deadlineMillis) {
-    ServerEntry entry = directory.servers().get(wanted.server().start());
+    ServerEntry entry = directory.servers().get(wanted.server().incarnation());
     if (entry != null && entry.versionOf(wanted.model()) >= wanted.version()) {
       onVersionReached(wanted);
       return;
@@ -185,7 +185,7 @@
   }
 
   private void onVersionReached(Wanted wanted) {
-    ServerIncarnation server = wanted.server().start();
+    ServerIncarnation server = wanted.server().incarnation();
     directory.onVersionLoaded(server, wanted.model(), wanted.version());
     duties.append(
         new DutyRecord.Reached(
@@ -203,17 +203,17 @@
   private void onUnreachable(Wanted wanted, Throwable failure) {
     logNotDone(wanted, failure.getMessage());
     planner.onUnreachable(
-        wanted.server().start(), context.nowMillis() + UNREACHABLE_RETRY_DELAY_MILLIS);
+        wanted.server().incarnation(), context.nowMillis() + UNREACHABLE_RETRY_DELAY_MILLIS);
   }
 
   private void retryLater(Wanted wanted, String reason) {
     logNotDone(wanted, reason);
-    planner.onFailed(wanted.server().start(), context.nowMillis() + RETRY_DELAY_MILLIS);
+    planner.onFailed(wanted.server().incarnation(), context.nowMillis() + RETRY_DELAY_MILLIS);
   }
 
   private static void logNotDone(Wanted wanted, String reason) {
     LOG.atInfo()
-        .addKeyValue("server", wanted.server().start())
+        .addKeyValue("server", wanted.server().incarnation())
         .addKeyValue("model", wanted.model())
         .addKeyValue("version", wanted.version())
         .addKeyValue("reason", reason)
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -84,7 +84,8 @@
 
   private void addEntry(ServerEntry server) {
     store.add(
-        "servers", List.of(new TableService.Entry(server.start().id(), Codec.encode(server))));
+        "servers",
+        List.of(new TableService.Entry(server.incarnation().id(), Codec.encode(server))));
   }
 
   private void removeEntry(String server) {
--- a/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ForwardAttemptsTest.java
@@ -76,7 +76,7 @@
 
     @Override
     public void onHedgeDue(ServerEntry server) {
-      hedgeDue.add(server.start());
+      hedgeDue.add(server.incarnation());
     }
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -139,7 +139,7 @@
   private String preferred(int place) {
     List<ServerEntry> servers = List.of("a", "b", "c").stream().map(this::entry).toList();
     Member self = new Member("n", "z");
-    return ServerSubset.of(self, List.of(), servers).byPreference().get(place).start().id();
+    return ServerSubset.of(self, List.of(), servers).byPreference().get(place).incarnation().id();
   }
 
   private Sent last() {
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -140,7 +140,7 @@
   }
 
   private void list(ServerEntry entry) {
-    tables.add("servers", List.of(new Entry(entry.start().id(), Codec.encode(entry))));
+    tables.add("servers", List.of(new Entry(entry.incarnation().id(), Codec.encode(entry))));
   }
 
   private ServerSubset subset() {
@@ -151,12 +151,12 @@
   }
 
   private String preferred(int place) {
-    return subset.byPreference().get(place).start().id();
+    return subset.byPreference().get(place).incarnation().id();
   }
 
   private Set<String> inSubset() {
     return subset.byPreference().subList(0, subset.size()).stream()
-        .map(server -> server.start().id())
+        .map(server -> server.incarnation().id())
         .collect(Collectors.toSet());
   }
 
