--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -32,7 +32,7 @@
    * Returns this entry with each version raised to at least the given one; versions never decrease
    * within one incarnation.
    */
-  public ServerEntry withAtLeast(Map<String, Long> minVersions) {
+  public ServerEntry withMinVersions(Map<String, Long> minVersions) {
     Map<String, Long> merged = new HashMap<>(versions);
     minVersions.forEach((model, version) -> merged.merge(model, version, Math::max));
     return new ServerEntry(incarnation, service, address, zone, slots, ready, merged);
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -24,7 +24,7 @@
     if (known == null || known.incarnation().isSupersededBy(start)) {
       servers.put(start.id(), entry);
     } else if (known.incarnation().equals(start)) {
-      servers.put(start.id(), entry.withAtLeast(known.versions()));
+      servers.put(start.id(), entry.withMinVersions(known.versions()));
     } else if (!start.hasStartTime()) {
       servers.remove(start.id());
     }
@@ -35,7 +35,9 @@
     servers.computeIfPresent(
         start.id(),
         (id, entry) ->
-            entry.incarnation().equals(start) ? entry.withAtLeast(Map.of(model, version)) : entry);
+            entry.incarnation().equals(start)
+                ? entry.withMinVersions(Map.of(model, version))
+                : entry);
   }
 
   /** Removes the entry of a server that is no longer listed or whose entry is invalid. */
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -233,7 +233,7 @@
     }
     submit();
     last().succeed();
-    ServerEntry updated = entry(SERVERS - 1, true).withAtLeast(Map.of("model", 2L));
+    ServerEntry updated = entry(SERVERS - 1, true).withMinVersions(Map.of("model", 2L));
     list(updated);
     timers.advance(10);
     submit();
