--- a/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
+++ b/core/src/test/java/org/passhaven/core/job/GenerationPickerTest.java
@@ -124,7 +124,7 @@
     view.onReport("other", 1, List.of(new ServerUse("fast", 0, 12, 40)), 20);
     picker.beginRound(servers, 20);
     assertThat(choose(100), equalTo("slow"));
-    assertThat(view.estimate(ServerIncarnation.of("fast"), 20).placesTaken(), equalTo(12));
+    assertThat(view.estimate(ServerIncarnation.of("fast"), 20).slotsInUse(), equalTo(12));
   }
 
   @Test
