--- a/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
@@ -79,7 +79,7 @@
   }
 
   /** Returns all servers with recorded observations. */
-  public Set<ServerIncarnation> starts() {
+  public Set<ServerIncarnation> knownServers() {
     return Set.copyOf(statsByServer.keySet());
   }
 
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -52,7 +52,7 @@
    */
   public List<ServerUse> createReport(int maxOfAll, int max, long nowMillis) {
     long limit = Math.max(1, Math.min(max, maxOfAll / (peerReports.reportingNodes() + 1)));
-    return health.starts().stream()
+    return health.knownServers().stream()
         .filter(start -> health.inProgress(start) > 0)
         .sorted(
             Comparator.comparingInt((ServerIncarnation start) -> -health.inProgress(start))
