--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -120,7 +120,7 @@
    * still a member. This keeps the connection to the first choice in use when only nodes have
    * changed.
    */
-  public ServerSubset keepingFirstOf(ServerSubset earlier) {
+  public ServerSubset withFirstChoiceOf(ServerSubset earlier) {
     if (earlier.byPreference.isEmpty()) {
       return this;
     }
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -138,7 +138,7 @@
     for (Member node : nodes) {
       ServerSubset formed = ServerSubset.of(node, nodes, servers);
       ServerSubset before = subsets.getOrDefault(node, formed);
-      ServerSubset after = formed.keepingFirstOf(before);
+      ServerSubset after = formed.withFirstChoiceOf(before);
       subsets.put(node, after);
       changes += after.byPreference().get(0).equals(before.byPreference().get(0)) ? 0 : 1;
     }
@@ -152,9 +152,9 @@
     List<ServerEntry> servers = SubsetFixture.servers(12, false, random);
     ServerSubset subset = ServerSubset.of(nodes.get(0), nodes, servers);
     ServerEntry outside = subset.byPreference().get(5);
-    assertThat(subset.keepingFirstOf(new ServerSubset(List.of(outside), 1)), equalTo(subset));
+    assertThat(subset.withFirstChoiceOf(new ServerSubset(List.of(outside), 1)), equalTo(subset));
     ServerEntry third = subset.byPreference().get(2);
-    ServerSubset kept = subset.keepingFirstOf(new ServerSubset(List.of(third), 1));
+    ServerSubset kept = subset.withFirstChoiceOf(new ServerSubset(List.of(third), 1));
     assertThat(kept.byPreference().get(0), equalTo(third));
     assertThat(new HashSet<>(chosen(kept)), equalTo(new HashSet<>(chosen(subset))));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -95,7 +95,7 @@
     }
     // The first choice changes with the servers, so that a new server gets its share of nodes.
     ServerSubset newSubset = ServerSubset.of(self, live, ready);
-    service.subset = isSameServers ? newSubset.keepingFirstOf(service.subset) : newSubset;
+    service.subset = isSameServers ? newSubset.withFirstChoiceOf(service.subset) : newSubset;
     LOG.atDebug()
         .addKeyValue("service", name)
         .addKeyValue("nodes", live.size())
