--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -142,7 +142,7 @@
    * @param inProgress recent peak of requests in progress at the node
    * @param turn number of requests sent by the node so far; selects the rotation
    */
-  public ServerSubset forUse(int inProgress, int turn) {
+  public ServerSubset forLoad(int inProgress, int turn) {
     long needed = (long) inProgress * SLOTS_PER_REQUEST;
     int neededServers = serversForSlots(needed);
     if (neededServers <= MIN_SERVERS) {
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -201,7 +201,7 @@
       int own = servers.stream().mapToInt(server -> health.inProgress(server.incarnation())).sum();
       List<ServerEntry> candidates =
           subset
-              .forUse(use.update(own + 1, nowMillis), turn++)
+              .forLoad(use.update(own + 1, nowMillis), turn++)
               .candidates(server -> inSubset.isGood(server, servers, nowMillis));
       return switch (strategy) {
         case BY_NAME -> byZone.pick(byName, Set.of(), nowMillis).orElseThrow();
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -73,7 +73,7 @@
   @Test
   void aServiceWithoutServersHasAnEmptySubset() {
     ServerSubset none = ServerSubset.of(new Member("n", "z"), List.of(), List.of());
-    assertThat(none.forUse(20, 3).candidates(server -> false), hasSize(0));
+    assertThat(none.forLoad(20, 3).candidates(server -> false), hasSize(0));
   }
 
   @Test
@@ -196,14 +196,14 @@
     List<ServerEntry> servers = SubsetFixture.servers(12, false, random);
     ServerSubset subset = ServerSubset.of(nodes.get(0), nodes, servers);
     for (int turn = 0; turn < 20; turn++) {
-      assertThat("18 places for 4", subset.forUse(4, turn), equalTo(subset));
+      assertThat("18 places for 4", subset.forLoad(4, turn), equalTo(subset));
     }
-    assertThat(subset.forUse(8, 0).size(), is(6));
-    assertThat(subset.forUse(16, 0).size(), is(11));
-    assertThat(subset.forUse(100, 0).size(), is(12));
+    assertThat(subset.forLoad(8, 0).size(), is(6));
+    assertThat(subset.forLoad(16, 0).size(), is(11));
+    assertThat(subset.forLoad(100, 0).size(), is(12));
     HashSet<ServerEntry> first = new HashSet<>();
     for (int turn = 0; turn < 11; turn++) {
-      first.add(subset.forUse(16, turn).byPreference().get(0));
+      first.add(subset.forLoad(16, turn).byPreference().get(0));
     }
     assertThat(first, hasSize(11));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -67,7 +67,7 @@
     refresh(name, service);
     long now = context.nowMillis();
     int peak = service.peakUse.update(inProgress(service) + 1, now);
-    service.activeSubset = service.subset.forUse(peak, service.rotation++);
+    service.activeSubset = service.subset.forLoad(peak, service.rotation++);
     List<ServerEntry> servers =
         service.activeSubset.candidates(
             server ->
