--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -180,7 +180,7 @@
   }
 
   /** Returns whether some servers are outside the subset. */
-  public boolean isNarrowed() {
+  public boolean isPartial() {
     return size < byPreference.size();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -126,7 +126,7 @@
     Service service = services.get(server.service());
     return server.zone().equals(self.zone())
         || (service != null
-            && service.activeSubset.isNarrowed()
+            && service.activeSubset.isPartial()
             && service.activeSubset.contains(server.incarnation()));
   }
 }
