--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -72,7 +72,7 @@
   }
 
   /** Returns whether two lists of servers, each ordered by id, result in the same subsets. */
-  public static boolean giveSameSubsets(List<ServerEntry> servers, List<ServerEntry> others) {
+  public static boolean haveSameSubsets(List<ServerEntry> servers, List<ServerEntry> others) {
     if (servers.size() != others.size()) {
       return false;
     }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -85,7 +85,7 @@
     if (isSameFleet && ready.equals(service.ready)) {
       return;
     }
-    boolean isSameServers = ServerSubset.giveSameSubsets(ready, service.ready);
+    boolean isSameServers = ServerSubset.haveSameSubsets(ready, service.ready);
     service.ready = ready;
     service.nodes = live;
     if (isSameFleet && isSameServers) {
