--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -31,7 +31,7 @@
   }
 
   /** Records a model version that a server reported before its entry was updated. */
-  public void onReached(ServerIncarnation start, String model, long version) {
+  public void onVersionReached(ServerIncarnation start, String model, long version) {
     servers.computeIfPresent(
         start.id(),
         (id, entry) ->
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -34,9 +34,9 @@
   @Test
   void versionsReportedForAnEarlierIncarnationDoNotApplyToALaterOne() {
     table.put(entry(SECOND, true, 1));
-    table.onReached(FIRST, "m", 9);
+    table.onVersionReached(FIRST, "m", 9);
     assertThat(table.get(SECOND).versionOf("m"), equalTo(1L));
-    table.onReached(SECOND, "m", 3);
+    table.onVersionReached(SECOND, "m", 3);
     table.put(entry(SECOND, true, 2));
     assertThat(table.get(SECOND).versionOf("m"), equalTo(3L));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -147,7 +147,7 @@
   /** Records that a server has loaded a weight version, which its entry may not show yet. */
   public void onVersionLoaded(ServerIncarnation start, String model, long version) {
     ServerEntry before = servers.get(start);
-    servers.onReached(start, model, version);
+    servers.onVersionReached(start, model, version);
     if (!Objects.equals(before, servers.get(start))) {
       notifyListeners();
     }
