--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -51,7 +51,7 @@
   }
 
   /** Returns the entry under an id, of any incarnation, or null if there is none. */
-  public ServerEntry listed(String id) {
+  public ServerEntry getById(String id) {
     return servers.get(id);
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -219,14 +219,14 @@
 
     @Override
     public void onDocument(String key, byte[] value) {
-      ServerEntry before = servers.listed(key);
+      ServerEntry before = servers.getById(key);
       if (value == null) {
         servers.remove(key);
         unreadable.remove(key);
       } else {
         parseAndStore(key, value);
       }
-      ServerEntry after = servers.listed(key);
+      ServerEntry after = servers.getById(key);
       if (!Objects.equals(before, after)) {
         logChange(key, before, after);
         notifyListeners();
