--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -64,7 +64,7 @@
   }
 
   /** Returns whether a later incarnation of the same server is listed. */
-  public boolean isSucceeded(ServerIncarnation start) {
+  public boolean isSuperseded(ServerIncarnation start) {
     ServerEntry entry = servers.get(start.id());
     return entry != null && start.isSupersededBy(entry.incarnation());
   }
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -27,8 +27,8 @@
     assertThat(table.get(SECOND).versionOf("m"), equalTo(1L));
     assertThat(table.get(FIRST), nullValue());
     assertThat(table.isReady(FIRST), is(false));
-    assertThat(table.isSucceeded(FIRST), is(true));
-    assertThat(table.isSucceeded(SECOND), is(false));
+    assertThat(table.isSuperseded(FIRST), is(true));
+    assertThat(table.isSuperseded(SECOND), is(false));
   }
 
   @Test
@@ -64,7 +64,7 @@
     table.put(entry(ServerIncarnation.of("a"), true, 7));
     table.put(entry(FIRST, true, 1));
     assertThat(table.get(FIRST).versionOf("m"), equalTo(1L));
-    assertThat(table.isSucceeded(ServerIncarnation.of("a")), is(true));
+    assertThat(table.isSuperseded(ServerIncarnation.of("a")), is(true));
   }
 
   @Test
@@ -74,6 +74,6 @@
     table.put(entry(start, false, 1));
     assertThat(table.get(start).versionOf("m"), equalTo(2L));
     assertThat(table.isReady(start), is(false));
-    assertThat(table.isSucceeded(start), is(false));
+    assertThat(table.isSuperseded(start), is(false));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -59,7 +59,7 @@
    */
   Uni<Void> onInterrupted(String fingerprint, ServerEntry server) {
     // An interruption at a server that shuts down as planned is not a crash.
-    if (directory.servers().isSucceeded(server.incarnation())) {
+    if (directory.servers().isSuperseded(server.incarnation())) {
       listener.onServerCrashed(fingerprint, server.incarnation());
       return Uni.createFrom().voidItem();
     }
