--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -76,7 +76,7 @@
   }
 
   /** Returns the servers of a service that accept new requests. */
-  public List<ServerEntry> readyOf(String service) {
+  public List<ServerEntry> readyServersOf(String service) {
     return servers.values().stream()
         .filter(entry -> entry.ready() && entry.service().equals(service))
         .toList();
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -46,7 +46,7 @@
     table.put(entry(SECOND, true, 1));
     table.put(entry(FIRST, false, 9));
     assertThat(table.isReady(SECOND), is(true));
-    assertThat(table.readyOf("s"), hasSize(1));
+    assertThat(table.readyServersOf("s"), hasSize(1));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -74,7 +74,7 @@
     this.crashes = Objects.requireNonNull(crashes, "crashes");
     this.rotation = new ShareRotation(context.randomBelow());
     this.candidates = new ServerCandidates(context, directory, health, liveNodes);
-    this.admission = new RequestAdmission(context, directory, directory.servers()::readyOf);
+    this.admission = new RequestAdmission(context, directory, directory.servers()::readyServersOf);
     this.requestRate = new RateMeter(context.nowMillis());
     directory.addListener(
         () ->
--- a/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestLogger.java
@@ -71,7 +71,7 @@
         .addKeyValue("request", call.id())
         .addKeyValue("route", route.name())
         .addKeyValue("service", service)
-        .addKeyValue("ready", directory.servers().readyOf(service).size())
+        .addKeyValue("ready", directory.servers().readyServersOf(service).size())
         .addKeyValue("configuration", directory.routes().version())
         .addKeyValue("attempts", attempts)
         .addKeyValue("outcome", outcome.getClass().getSimpleName())
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -79,7 +79,7 @@
   }
 
   private void refresh(String name, Service service) {
-    List<ServerEntry> ready = directory.servers().readyOf(name);
+    List<ServerEntry> ready = directory.servers().readyServersOf(name);
     List<Member> live = liveMembers();
     boolean isSameFleet = live.equals(service.nodes);
     if (isSameFleet && ready.equals(service.ready)) {
