--- a/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
@@ -52,7 +52,7 @@
   }
 
   /** Returns the estimated number of generations of other nodes at a server now. */
-  public double placesTaken(ServerIncarnation start, long nowMillis) {
+  public double slotsInUse(ServerIncarnation start, long nowMillis) {
     double slots = 0;
     for (Report report : byNode.values()) {
       ServerUse use = report.uses().get(start);
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -100,7 +100,7 @@
     Arrays.sort(known);
     double median = known.length == 0 ? DEFAULT_INTERVAL_MILLIS : known[(known.length - 1) / 2];
     for (ServerIncarnation start : starts) {
-      peerSlotsInUse.put(start, (int) Math.round(peerReports.placesTaken(start, nowMillis)));
+      peerSlotsInUse.put(start, (int) Math.round(peerReports.slotsInUse(start, nowMillis)));
       double knownMillis = sustained.get(start);
       double sustainedMillis = knownMillis > 0 ? knownMillis : median;
       double recentMillis =
--- a/core/src/test/java/org/passhaven/core/backend/ServerUseTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerUseTableTest.java
@@ -22,7 +22,7 @@
     report("a", 1, 6, 40, 0);
     report("b", 1, 2, 80, 100);
     report("a", 1, 3, 50, 200);
-    assertThat(table.placesTaken(S, 200), equalTo(5.0));
+    assertThat(table.slotsInUse(S, 200), equalTo(5.0));
     assertThat(table.pauseMillis(S, 200), equalTo(50.0));
     assertThat(table.ageMillis(S, 200), equalTo(100L));
   }
@@ -30,9 +30,9 @@
   @Test
   void theWeightOfAReportDecaysToZero() {
     report("a", 1, 6, 40, 0);
-    assertThat(table.placesTaken(S, 1_000), equalTo(6.0));
-    assertThat(table.placesTaken(S, 2_500), closeTo(3.0, 0.01));
-    assertThat(table.placesTaken(S, 4_000), equalTo(0.0));
+    assertThat(table.slotsInUse(S, 1_000), equalTo(6.0));
+    assertThat(table.slotsInUse(S, 2_500), closeTo(3.0, 0.01));
+    assertThat(table.slotsInUse(S, 4_000), equalTo(0.0));
     assertThat(table.ageMillis(S, 4_000), equalTo(Long.MAX_VALUE));
     table.forgetExpired(4_000);
     assertThat(table.reportingNodes(), equalTo(0));
@@ -49,20 +49,20 @@
   void anEmptyReportRemovesThePreviousOne() {
     report("a", 1, 6, 40, 0);
     table.onReport("a", 1, List.of(), 500);
-    assertThat(table.placesTaken(S, 500), equalTo(0.0));
+    assertThat(table.slotsInUse(S, 500), equalTo(0.0));
   }
 
   @Test
   void aReportOfAnEarlierIncarnationOfANodeIsIgnored() {
     report("a", 2, 1, 40, 0);
     report("a", 1, 6, 40, 10);
-    assertThat(table.placesTaken(S, 10), equalTo(1.0));
+    assertThat(table.slotsInUse(S, 10), equalTo(1.0));
   }
 
   @Test
   void aReportOnAnEarlierIncarnationOfAServerDoesNotApplyToTheNext() {
     table.onReport("a", 1, List.of(new ServerUse("s", 5, 6, 40)), 0);
-    assertThat(table.placesTaken(new ServerIncarnation("s", 5), 0), equalTo(6.0));
-    assertThat(table.placesTaken(new ServerIncarnation("s", 9), 0), equalTo(0.0));
+    assertThat(table.slotsInUse(new ServerIncarnation("s", 5), 0), equalTo(6.0));
+    assertThat(table.slotsInUse(new ServerIncarnation("s", 9), 0), equalTo(0.0));
   }
 }
