--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
@@ -24,8 +24,8 @@
 import org.passhaven.protocol.ConfigurationDocument;
 
 /**
- * Parses and validates operators' files and stored documents into a {@link ConfigurationImage}. If
- * any document is invalid, all are rejected and every error is reported. Thread-safe.
+ * Parses and validates operators' files and stored documents into a {@link ConfigurationSnapshot}.
+ * If any document is invalid, all are rejected and every error is reported. Thread-safe.
  */
 public final class ConfigurationParser {
   /** A configuration file. */
@@ -72,7 +72,7 @@
    *
    * @throws ConfigurationException if a document is invalid
    */
-  public ConfigurationImage image(long revision, Collection<ConfigurationDocument> documents)
+  public ConfigurationSnapshot image(long revision, Collection<ConfigurationDocument> documents)
       throws ConfigurationException {
     List<String> errors = new ArrayList<>();
     ImageBuilder builder = build(documents, errors);
@@ -80,7 +80,7 @@
     if (!errors.isEmpty()) {
       throw new ConfigurationException(errors);
     }
-    return new ConfigurationImage(
+    return new ConfigurationSnapshot(
         revision, builder.trainers, builder.models, builder.services, builder.callers);
   }
 
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationImage.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationSnapshot.java
@@ -14,17 +14,18 @@
  * @param services service settings by name
  * @param callers caller settings by name
  */
-public record ConfigurationImage(
+public record ConfigurationSnapshot(
     long revision,
     NavigableMap<String, TrainerSettings> trainers,
     NavigableMap<String, ModelSettings> models,
     NavigableMap<String, ServiceSettings> services,
     NavigableMap<String, CallerSettings> callers) {
   /** The empty configuration, before any change was applied. */
-  public static final ConfigurationImage EMPTY =
-      new ConfigurationImage(0, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+  public static final ConfigurationSnapshot EMPTY =
+      new ConfigurationSnapshot(
+          0, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
 
-  public ConfigurationImage {
+  public ConfigurationSnapshot {
     trainers = copy(trainers);
     models = copy(models);
     services = copy(services);
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.passhaven.core.configuration.ConfigurationException;
-import org.passhaven.core.configuration.ConfigurationImage;
 import org.passhaven.core.configuration.ConfigurationLog;
 import org.passhaven.core.configuration.ConfigurationParser;
+import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.core.configuration.TrainerSettings;
 import org.passhaven.node.NodeContext;
 import org.passhaven.node.stream.StreamClient;
@@ -63,9 +63,9 @@
   private final Supplier<List<MemberState>> members;
   private final StreamClient stream;
   private final ConfigurationLog log = new ConfigurationLog();
-  private final List<Consumer<ConfigurationImage>> listeners = new ArrayList<>();
+  private final List<Consumer<ConfigurationSnapshot>> listeners = new ArrayList<>();
   private List<ConfigurationDocument> documentsInForce = List.of();
-  private ConfigurationImage inForce = ConfigurationImage.EMPTY;
+  private ConfigurationSnapshot inForce = ConfigurationSnapshot.EMPTY;
 
   /** Creates the agent; {@code members} gives the nodes that may be asked for a newer image. */
   public ConfigurationAgent(
@@ -77,7 +77,7 @@
   }
 
   /** Calls {@code listener} with each image that comes into force. */
-  public void addListener(Consumer<ConfigurationImage> listener) {
+  public void addListener(Consumer<ConfigurationSnapshot> listener) {
     listeners.add(listener);
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Image in force. */
-  public ConfigurationImage inForce() {
+  public ConfigurationSnapshot inForce() {
     return inForce;
   }
 
@@ -135,7 +135,7 @@
   private List<String> forbiddenChanges(List<ConfigurationDocument> documents) {
     List<String> errors = new ArrayList<>();
     try {
-      ConfigurationImage wanted = parser.image(log.revision(), documents);
+      ConfigurationSnapshot wanted = parser.image(log.revision(), documents);
       wanted
           .trainers()
           .forEach(
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.passhaven.core.configuration.CallerSettings;
-import org.passhaven.core.configuration.ConfigurationImage;
+import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.core.configuration.ServiceSettings;
 import org.passhaven.core.configuration.ServiceSettings.RequestClass;
 import org.passhaven.core.request.RateLimiter;
@@ -57,7 +57,7 @@
 
   private final NodeContext context;
   private final ServiceDirectory servers;
-  private final Supplier<ConfigurationImage> configuration;
+  private final Supplier<ConfigurationSnapshot> configuration;
   private final KeyedRequests keyed;
   private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Map<String, Limit> limits = new HashMap<>();
@@ -77,7 +77,7 @@
   public RequestService(
       NodeContext context,
       ServiceDirectory servers,
-      Supplier<ConfigurationImage> configuration,
+      Supplier<ConfigurationSnapshot> configuration,
       Supplier<List<MemberState>> alive) {
     this.context = Objects.requireNonNull(context, "context");
     this.servers = Objects.requireNonNull(servers, "servers");
--- a/node/src/main/java/org/passhaven/node/run/RolloutService.java
+++ b/node/src/main/java/org/passhaven/node/run/RolloutService.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.Supplier;
-import org.passhaven.core.configuration.ConfigurationImage;
+import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.core.configuration.TrainerSettings;
 import org.passhaven.protocol.PeerRequest;
 import org.passhaven.protocol.PeerResponse;
@@ -40,10 +40,10 @@
   }
 
   private final OwnerClient owners;
-  private final Supplier<ConfigurationImage> configuration;
+  private final Supplier<ConfigurationSnapshot> configuration;
 
   /** Creates the service over the configuration in force. */
-  public RolloutService(OwnerClient owners, Supplier<ConfigurationImage> configuration) {
+  public RolloutService(OwnerClient owners, Supplier<ConfigurationSnapshot> configuration) {
     this.owners = Objects.requireNonNull(owners, "owners");
     this.configuration = Objects.requireNonNull(configuration, "configuration");
   }
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.passhaven.core.configuration.ConfigurationImage;
+import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.core.configuration.TrainerSettings;
 import org.passhaven.core.lease.LeaseWatch;
 import org.passhaven.core.run.AttemptId;
@@ -56,7 +56,7 @@
   private final PullQueue pulls;
   private final Set<Long> finishing = new HashSet<>();
   private RunState state = new RunState();
-  private ConfigurationImage configuration;
+  private ConfigurationSnapshot configuration;
   private RunCoordinator coordinator;
   private VersionOrders orders;
   private Timers.Timer ticking;
@@ -73,7 +73,7 @@
   public RunAgent(
       NodeContext context,
       ShardId shard,
-      ConfigurationImage configuration,
+      ConfigurationSnapshot configuration,
       EngineDirectory engines,
       SampleScorer scorer) {
     this.context = Objects.requireNonNull(context, "context");
@@ -103,7 +103,7 @@
    * A new configuration came into force; one without this trainer ends the agent by {@link
    * #release}.
    */
-  public void setConfiguration(ConfigurationImage image) {
+  public void setConfiguration(ConfigurationSnapshot image) {
     TrainerSettings settings = image.trainers().get(shard.trainer());
     if (settings == null) {
       return;
--- a/node/src/main/java/org/passhaven/node/run/RunManager.java
+++ b/node/src/main/java/org/passhaven/node/run/RunManager.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Supplier;
-import org.passhaven.core.configuration.ConfigurationImage;
+import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.node.NodeContext;
 import org.passhaven.node.backend.EngineDirectory;
 import org.passhaven.protocol.MemberState;
@@ -25,7 +25,7 @@
   private final SampleScorer scorer;
   private final Supplier<List<MemberState>> alive;
   private final Map<ShardId, RunAgent> agents = new HashMap<>();
-  private ConfigurationImage configuration = ConfigurationImage.EMPTY;
+  private ConfigurationSnapshot configuration = ConfigurationSnapshot.EMPTY;
   private boolean stopping;
 
   /** Creates the manager; {@code alive} gives the live nodes. */
@@ -41,7 +41,7 @@
   }
 
   /** A new configuration came into force. */
-  public void onConfiguration(ConfigurationImage image) {
+  public void onConfiguration(ConfigurationSnapshot image) {
     configuration = image;
     agents.values().forEach(agent -> agent.setConfiguration(image));
     place();
