--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
@@ -72,7 +72,7 @@
    *
    * @throws ConfigurationException if a document is invalid
    */
-  public ConfigurationSnapshot image(long revision, Collection<ConfigurationDocument> documents)
+  public ConfigurationSnapshot snapshot(long revision, Collection<ConfigurationDocument> documents)
       throws ConfigurationException {
     List<String> errors = new ArrayList<>();
     ImageBuilder builder = build(documents, errors);
--- a/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
@@ -35,7 +35,7 @@
   void validFilesGiveTheirDocuments() throws ConfigurationException {
     List<ConfigurationDocument> documents =
         parser.parse(List.of(new SourceFile("a.yaml", MODEL + "---\n" + TRAINER)));
-    ConfigurationSnapshot image = parser.image(3, documents);
+    ConfigurationSnapshot image = parser.snapshot(3, documents);
     assertThat(image.trainers().get("t").stalenessBound(), equalTo(2));
     assertThat(image.engineGroupOf("t").orElseThrow(), equalTo("g"));
   }
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -135,7 +135,7 @@
   private List<String> forbiddenChanges(List<ConfigurationDocument> documents) {
     List<String> errors = new ArrayList<>();
     try {
-      ConfigurationSnapshot wanted = parser.image(log.revision(), documents);
+      ConfigurationSnapshot wanted = parser.snapshot(log.revision(), documents);
       wanted
           .trainers()
           .forEach(
@@ -170,7 +170,7 @@
       return;
     }
     try {
-      inForce = parser.image(revision, documents);
+      inForce = parser.snapshot(revision, documents);
     } catch (ConfigurationException e) {
       LOG.error("configuration: revision {} can't be read here: {}", revision, e.getMessage());
       return;
