--- a/core/src/main/java/org/passhaven/core/connection/ConnectionTrust.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -13,7 +13,7 @@
  * data on any older connection, makes all connections of this node suspect. A connection that
  * receives data is trusted again. Times are in monotonic milliseconds. Not thread-safe.
  */
-public final class ConnectionTrust {
+public final class ConnectionLiveness {
   /**
    * Silences within this time are treated as one event. Long enough for a node to make calls to two
    * addresses, but too short for unrelated slow servers to count as an outage.
--- a/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
+++ b/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
@@ -4,7 +4,7 @@
 import static org.hamcrest.Matchers.is;
 
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.connection.ConnectionTrust.Connection;
+import org.passhaven.core.connection.ConnectionLiveness.Connection;
 
 /** Guards against reusing connections that went silent without being closed. */
 class ConnectionTrustTest {
@@ -12,7 +12,7 @@
   private static final String B = "10.0.0.2:1";
   private static final String C = "10.0.0.3:1";
   private static final String D = "10.0.0.4:1";
-  private final ConnectionTrust trust = new ConnectionTrust();
+  private final ConnectionLiveness trust = new ConnectionLiveness();
 
   /** Returns a connection that was opened at 0 and last received data at the given time. */
   private Connection idleConnection(String address, long heardAtMillis) {
