--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -80,7 +80,7 @@
   }
 
   /** Returns whether a connection may be used for another call. */
-  public boolean isTrusted(Connection connection) {
+  public boolean isReusable(Connection connection) {
     long silentSinceMillis =
         silentSinceMillisByAddress.getOrDefault(connection.address, NEVER_MILLIS);
     return connection.heardAtMillis > Math.max(silentSinceMillis, allSilentSinceMillis);
--- a/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
+++ b/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
@@ -28,18 +28,18 @@
     Connection activeSince = idleConnection(A, 1_050);
     Connection elsewhere = idleConnection(B, 100);
     assertThat(trust.onSilent(silent, 1_000, 1_000, 1_200), is(false));
-    assertThat(trust.isTrusted(silent), is(false));
-    assertThat(trust.isTrusted(older), is(false));
-    assertThat(trust.isTrusted(activeSince), is(true));
-    assertThat(trust.isTrusted(elsewhere), is(true));
-    assertThat(trust.isTrusted(trust.onOpened(A, 1_200)), is(true));
+    assertThat(trust.isReusable(silent), is(false));
+    assertThat(trust.isReusable(older), is(false));
+    assertThat(trust.isReusable(activeSince), is(true));
+    assertThat(trust.isReusable(elsewhere), is(true));
+    assertThat(trust.isReusable(trust.onOpened(A, 1_200)), is(true));
   }
 
   @Test
   void aSilentConnectionIsSuspectEvenIfDataArrivedJustBefore() {
     Connection silent = idleConnection(A, 1_000);
     trust.onSilent(silent, 1_000, 1_000, 1_800);
-    assertThat(trust.isTrusted(silent), is(false));
+    assertThat(trust.isReusable(silent), is(false));
   }
 
   @Test
@@ -48,7 +48,7 @@
     Connection older = idleConnection(A, 200);
     trust.onSilent(silent, 1_000, 1_000, 1_200);
     trust.onHeard(older, 1_300);
-    assertThat(trust.isTrusted(older), is(true));
+    assertThat(trust.isReusable(older), is(true));
   }
 
   @Test
@@ -56,7 +56,7 @@
     Connection older = idleConnection(A, 200);
     Connection unresponsive = trust.onOpened(A, 900);
     assertThat(trust.onSilent(unresponsive, 899, 901, 2_000), is(false));
-    assertThat(trust.isTrusted(older), is(true));
+    assertThat(trust.isReusable(older), is(true));
   }
 
   @Test
@@ -64,25 +64,25 @@
     Connection older = idleConnection(A, 200);
     Connection unused = trust.onOpened(A, 300);
     trust.onSilent(unused, 899, 901, 2_000);
-    assertThat(trust.isTrusted(older), is(false));
-    assertThat(trust.isTrusted(unused), is(false));
+    assertThat(trust.isReusable(older), is(false));
+    assertThat(trust.isReusable(unused), is(false));
   }
 
   @Test
   void dataReceivedAtTheTimeOfTheSilentCallDoesNotClearSuspicion() {
     Connection other = idleConnection(A, 1_000);
     trust.onSilent(idleConnection(A, 900), 1_000, 1_000, 1_400);
-    assertThat(trust.isTrusted(other), is(false));
+    assertThat(trust.isReusable(other), is(false));
   }
 
   @Test
   void silenceAtTwoAddressesMakesAllConnectionsSuspect() {
     Connection elsewhere = idleConnection(C, 900);
     trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
-    assertThat(trust.isTrusted(elsewhere), is(true));
+    assertThat(trust.isReusable(elsewhere), is(true));
     assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
-    assertThat(trust.isTrusted(elsewhere), is(false));
-    assertThat(trust.isTrusted(trust.onOpened(C, 1_400)), is(true));
+    assertThat(trust.isReusable(elsewhere), is(false));
+    assertThat(trust.isReusable(trust.onOpened(C, 1_400)), is(true));
   }
 
   @Test
@@ -94,7 +94,7 @@
     Connection renewed = trust.onOpened(A, 1_450);
     assertThat(trust.onSilent(third, 1_000, 1_000, 3_000), is(false));
     assertThat(trust.onSilent(fourth, 1_050, 1_050, 3_000), is(false));
-    assertThat(trust.isTrusted(renewed), is(true));
+    assertThat(trust.isReusable(renewed), is(true));
   }
 
   @Test
@@ -103,7 +103,7 @@
     trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
     trust.onHeard(healthy, 1_300);
     assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(false));
-    assertThat(trust.isTrusted(healthy), is(true));
+    assertThat(trust.isReusable(healthy), is(true));
   }
 
   @Test
@@ -112,7 +112,7 @@
     trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
     trust.onHeard(trust.onOpened(B, 1_150), 1_390);
     assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
-    assertThat(trust.isTrusted(elsewhere), is(false));
+    assertThat(trust.isReusable(elsewhere), is(false));
   }
 
   @Test
@@ -126,6 +126,6 @@
     Connection silent = idleConnection(A, 100);
     trust.onSilent(silent, 5_000, 5_000, 5_200);
     trust.onClosed(silent);
-    assertThat(trust.isTrusted(idleConnection(A, 100)), is(true));
+    assertThat(trust.isReusable(idleConnection(A, 100)), is(true));
   }
 }
