--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -66,7 +66,7 @@
   }
 
   /** Records that data was received on a connection. */
-  public void onHeard(Connection connection, long nowMillis) {
+  public void onDataReceived(Connection connection, long nowMillis) {
     connection.heardAtMillis = nowMillis;
     connection.hasReceivedData = true;
   }
--- a/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
+++ b/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
@@ -17,7 +17,7 @@
   /** Returns a connection that was opened at 0 and last received data at the given time. */
   private Connection idleConnection(String address, long heardAtMillis) {
     Connection connection = trust.onOpened(address, 0);
-    trust.onHeard(connection, heardAtMillis);
+    trust.onDataReceived(connection, heardAtMillis);
     return connection;
   }
 
@@ -47,7 +47,7 @@
     Connection silent = idleConnection(A, 100);
     Connection older = idleConnection(A, 200);
     trust.onSilent(silent, 1_000, 1_000, 1_200);
-    trust.onHeard(older, 1_300);
+    trust.onDataReceived(older, 1_300);
     assertThat(trust.isReusable(older), is(true));
   }
 
@@ -101,7 +101,7 @@
   void slowServersMakeNoOthersSuspectWhileAnOlderConnectionReceivesData() {
     Connection healthy = idleConnection(C, 900);
     trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
-    trust.onHeard(healthy, 1_300);
+    trust.onDataReceived(healthy, 1_300);
     assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(false));
     assertThat(trust.isReusable(healthy), is(true));
   }
@@ -110,7 +110,7 @@
   void dataOnNewConnectionsDoesNotClearOlderOnes() {
     Connection elsewhere = idleConnection(C, 900);
     trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
-    trust.onHeard(trust.onOpened(B, 1_150), 1_390);
+    trust.onDataReceived(trust.onOpened(B, 1_150), 1_390);
     assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
     assertThat(trust.isReusable(elsewhere), is(false));
   }
