--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -94,7 +94,7 @@
    * @param sinceMillis when the call was sent or data was last received
    * @return whether this call has made all connections of this node suspect
    */
-  public boolean onSilent(
+  public boolean onNoResponse(
       Connection connection, long beganMillis, long sinceMillis, long nowMillis) {
     if (!connection.isKept(beganMillis)) {
       return false;
--- a/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
+++ b/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
@@ -27,7 +27,7 @@
     Connection older = idleConnection(A, 200);
     Connection activeSince = idleConnection(A, 1_050);
     Connection elsewhere = idleConnection(B, 100);
-    assertThat(trust.onSilent(silent, 1_000, 1_000, 1_200), is(false));
+    assertThat(trust.onNoResponse(silent, 1_000, 1_000, 1_200), is(false));
     assertThat(trust.isReusable(silent), is(false));
     assertThat(trust.isReusable(older), is(false));
     assertThat(trust.isReusable(activeSince), is(true));
@@ -38,7 +38,7 @@
   @Test
   void aSilentConnectionIsSuspectEvenIfDataArrivedJustBefore() {
     Connection silent = idleConnection(A, 1_000);
-    trust.onSilent(silent, 1_000, 1_000, 1_800);
+    trust.onNoResponse(silent, 1_000, 1_000, 1_800);
     assertThat(trust.isReusable(silent), is(false));
   }
 
@@ -46,7 +46,7 @@
   void aConnectionThatReceivesDataIsTrustedAgain() {
     Connection silent = idleConnection(A, 100);
     Connection older = idleConnection(A, 200);
-    trust.onSilent(silent, 1_000, 1_000, 1_200);
+    trust.onNoResponse(silent, 1_000, 1_000, 1_200);
     trust.onDataReceived(older, 1_300);
     assertThat(trust.isReusable(older), is(true));
   }
@@ -55,7 +55,7 @@
   void aConnectionOpenedForTheCallWithoutAResponseMakesNoOthersSuspect() {
     Connection older = idleConnection(A, 200);
     Connection unresponsive = trust.onOpened(A, 900);
-    assertThat(trust.onSilent(unresponsive, 899, 901, 2_000), is(false));
+    assertThat(trust.onNoResponse(unresponsive, 899, 901, 2_000), is(false));
     assertThat(trust.isReusable(older), is(true));
   }
 
@@ -63,7 +63,7 @@
   void aSilentConnectionOpenedBeforeTheCallMakesOthersSuspect() {
     Connection older = idleConnection(A, 200);
     Connection unused = trust.onOpened(A, 300);
-    trust.onSilent(unused, 899, 901, 2_000);
+    trust.onNoResponse(unused, 899, 901, 2_000);
     assertThat(trust.isReusable(older), is(false));
     assertThat(trust.isReusable(unused), is(false));
   }
@@ -71,16 +71,16 @@
   @Test
   void dataReceivedAtTheTimeOfTheSilentCallDoesNotClearSuspicion() {
     Connection other = idleConnection(A, 1_000);
-    trust.onSilent(idleConnection(A, 900), 1_000, 1_000, 1_400);
+    trust.onNoResponse(idleConnection(A, 900), 1_000, 1_000, 1_400);
     assertThat(trust.isReusable(other), is(false));
   }
 
   @Test
   void silenceAtTwoAddressesMakesAllConnectionsSuspect() {
     Connection elsewhere = idleConnection(C, 900);
-    trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
+    trust.onNoResponse(idleConnection(A, 100), 1_000, 1_000, 1_200);
     assertThat(trust.isReusable(elsewhere), is(true));
-    assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
+    assertThat(trust.onNoResponse(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
     assertThat(trust.isReusable(elsewhere), is(false));
     assertThat(trust.isReusable(trust.onOpened(C, 1_400)), is(true));
   }
@@ -89,42 +89,42 @@
   void laterTimeoutsOfTheSameEventDoNotCountAgain() {
     Connection third = idleConnection(C, 900);
     Connection fourth = idleConnection(D, 900);
-    trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
-    trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400);
+    trust.onNoResponse(idleConnection(A, 100), 1_000, 1_000, 1_200);
+    trust.onNoResponse(idleConnection(B, 100), 1_100, 1_100, 1_400);
     Connection renewed = trust.onOpened(A, 1_450);
-    assertThat(trust.onSilent(third, 1_000, 1_000, 3_000), is(false));
-    assertThat(trust.onSilent(fourth, 1_050, 1_050, 3_000), is(false));
+    assertThat(trust.onNoResponse(third, 1_000, 1_000, 3_000), is(false));
+    assertThat(trust.onNoResponse(fourth, 1_050, 1_050, 3_000), is(false));
     assertThat(trust.isReusable(renewed), is(true));
   }
 
   @Test
   void slowServersMakeNoOthersSuspectWhileAnOlderConnectionReceivesData() {
     Connection healthy = idleConnection(C, 900);
-    trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
+    trust.onNoResponse(idleConnection(A, 100), 1_000, 1_000, 1_200);
     trust.onDataReceived(healthy, 1_300);
-    assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(false));
+    assertThat(trust.onNoResponse(idleConnection(B, 100), 1_100, 1_100, 1_400), is(false));
     assertThat(trust.isReusable(healthy), is(true));
   }
 
   @Test
   void dataOnNewConnectionsDoesNotClearOlderOnes() {
     Connection elsewhere = idleConnection(C, 900);
-    trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
+    trust.onNoResponse(idleConnection(A, 100), 1_000, 1_000, 1_200);
     trust.onDataReceived(trust.onOpened(B, 1_150), 1_390);
-    assertThat(trust.onSilent(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
+    assertThat(trust.onNoResponse(idleConnection(B, 100), 1_100, 1_100, 1_400), is(true));
     assertThat(trust.isReusable(elsewhere), is(false));
   }
 
   @Test
   void silencesFarApartInTimeAreSeparateEvents() {
-    trust.onSilent(idleConnection(A, 100), 1_000, 1_000, 1_200);
-    assertThat(trust.onSilent(idleConnection(B, 100), 2_100, 2_100, 2_300), is(false));
+    trust.onNoResponse(idleConnection(A, 100), 1_000, 1_000, 1_200);
+    assertThat(trust.onNoResponse(idleConnection(B, 100), 2_100, 2_100, 2_300), is(false));
   }
 
   @Test
   void closingTheLastConnectionClearsTheSuspicionOfAnAddress() {
     Connection silent = idleConnection(A, 100);
-    trust.onSilent(silent, 5_000, 5_000, 5_200);
+    trust.onNoResponse(silent, 5_000, 5_000, 5_200);
     trust.onClosed(silent);
     assertThat(trust.isReusable(idleConnection(A, 100)), is(true));
   }
