--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -33,13 +33,13 @@
   public static final class Connection {
     private final String address;
     private final long openedAtMillis;
-    private long heardAtMillis;
+    private long lastReceivedAtMillis;
     private boolean hasReceivedData;
 
     private Connection(String address, long nowMillis) {
       this.address = Objects.requireNonNull(address, "address");
       this.openedAtMillis = nowMillis;
-      this.heardAtMillis = nowMillis;
+      this.lastReceivedAtMillis = nowMillis;
     }
 
     /** Returns the remote address. */
@@ -48,8 +48,8 @@
     }
 
     /** Returns when data was last received, or when the connection was opened. */
-    public long heardAtMillis() {
-      return heardAtMillis;
+    public long lastReceivedAtMillis() {
+      return lastReceivedAtMillis;
     }
 
     /** Returns whether the connection was opened before a call began or has received data. */
@@ -67,7 +67,7 @@
 
   /** Records that data was received on a connection. */
   public void onDataReceived(Connection connection, long nowMillis) {
-    connection.heardAtMillis = nowMillis;
+    connection.lastReceivedAtMillis = nowMillis;
     connection.hasReceivedData = true;
   }
 
@@ -83,7 +83,7 @@
   public boolean isReusable(Connection connection) {
     long silentSinceMillis =
         silentSinceMillisByAddress.getOrDefault(connection.address, NEVER_MILLIS);
-    return connection.heardAtMillis > Math.max(silentSinceMillis, allSilentSinceMillis);
+    return connection.lastReceivedAtMillis > Math.max(silentSinceMillis, allSilentSinceMillis);
   }
 
   /**
@@ -125,6 +125,7 @@
         silences.values().stream().mapToLong(Silence::sinceMillis).max().orElse(NEVER_MILLIS);
     return open.stream()
         .anyMatch(
-            connection -> connection.openedAtMillis < first && connection.heardAtMillis > last);
+            connection ->
+                connection.openedAtMillis < first && connection.lastReceivedAtMillis > last);
   }
 }
