--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns whether the connection was opened before a call began or has received data. */
-    public boolean isKept(long beganMillis) {
+    public boolean isEstablished(long beganMillis) {
       return hasReceivedData || openedAtMillis < beganMillis;
     }
   }
@@ -96,7 +96,7 @@
    */
   public boolean onNoResponse(
       Connection connection, long beganMillis, long sinceMillis, long nowMillis) {
-    if (!connection.isKept(beganMillis)) {
+    if (!connection.isEstablished(beganMillis)) {
       return false;
     }
     silentSinceMillisByAddress.merge(connection.address, sinceMillis, Math::max);
