--- a/core/src/test/java/org/passhaven/core/connection/ConnectionTrustTest.java
+++ b/core/src/test/java/org/passhaven/core/connection/ConnectionLivenessTest.java
@@ -7,7 +7,7 @@
 import org.passhaven.core.connection.ConnectionLiveness.Connection;
 
 /** Guards against reusing connections that went silent without being closed. */
-class ConnectionTrustTest {
+class ConnectionLivenessTest {
   private static final String A = "10.0.0.1:1";
   private static final String B = "10.0.0.2:1";
   private static final String C = "10.0.0.3:1";
