--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -161,7 +161,7 @@
   }
 
   /** Returns whether it is certain that no server has run or will run the request. */
-  public boolean hasSurelyNotRun() {
+  public boolean hasDefinitelyNotRun() {
     return possibleRuns == 0 && inProgress == 0;
   }
 
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -58,7 +58,7 @@
     assertThat(plan.onEnded(Outcome.UNKNOWN, 10), is(Step.TRY_NEXT));
     assertThat(next(plan, 10), equalTo(Optional.of("b")));
     assertThat(plan.onEnded(Outcome.UNKNOWN, 20), is(Step.GIVE_UP));
-    assertThat(plan.hasSurelyNotRun(), is(false));
+    assertThat(plan.hasDefinitelyNotRun(), is(false));
   }
 
   @Test
@@ -81,7 +81,7 @@
       last = plan.onEnded(Outcome.NOT_RUN, tries);
     }
     assertThat(last, is(Step.GIVE_UP));
-    assertThat(plan.hasSurelyNotRun(), is(true));
+    assertThat(plan.hasDefinitelyNotRun(), is(true));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -318,7 +318,7 @@
     private void fail(String reason) {
       boolean timedOut = context.nowMillis() >= plan.deadlineMillis();
       ForwardOutcome outcome =
-          plan.hasSurelyNotRun()
+          plan.hasDefinitelyNotRun()
               ? new ForwardOutcome.NotRun(reason, retryAfterMillis())
               : new ForwardOutcome.Unknown(reason, timedOut, plan.serverErrors());
       log.onFailed(outcome, attempts.attemptsSent(), reason);
