--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -76,7 +76,7 @@
    * Records time that the monotonic clock may have missed, such as while the machine was suspended.
    * It reduces the time left for new attempts; attempts in progress continue.
    */
-  public void onTimeLost(long millis) {
+  public void onUncountedTime(long millis) {
     uncountedMillis = Math.max(uncountedMillis, millis);
   }
 
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -147,16 +147,16 @@
   void uncountedTimePreventsNewAttemptsButNotThoseInProgress() {
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 3);
     assertThat(next(plan, 0), equalTo(Optional.of("a")));
-    plan.onTimeLost(600);
+    plan.onUncountedTime(600);
     assertThat(plan.leftMillis(100), is(300L));
     assertThat(plan.deadlineMillis(), is(1_000L));
     assertThat(plan.onEnded(Outcome.UNKNOWN, 200), is(Step.TRY_NEXT));
     assertThat(next(plan, 200), equalTo(Optional.of("b")));
-    plan.onTimeLost(900);
+    plan.onUncountedTime(900);
     assertThat(plan.onEnded(Outcome.UNKNOWN, 300), is(Step.GIVE_UP));
     ForwardPlan underWay = plan(Route.Kind.REPEATABLE, 3);
     next(underWay, 0);
-    underWay.onTimeLost(5_000);
+    underWay.onUncountedTime(5_000);
     assertThat(underWay.onEnded(Outcome.SUCCESS, 300), is(Step.DELIVER));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -183,7 +183,7 @@
     }
 
     private void updateTimeLost() {
-      plan.onTimeLost(lostToClockJumpsMillis() - lostAtStartMillis);
+      plan.onUncountedTime(lostToClockJumpsMillis() - lostAtStartMillis);
     }
 
     private void onTrialClaimed() {
