--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -81,13 +81,13 @@
   }
 
   /** Returns the time left for a new attempt. */
-  public long leftMillis(long nowMillis) {
+  public long remainingMillis(long nowMillis) {
     return deadlineMillis - uncountedMillis - nowMillis;
   }
 
   /** Returns whether enough time is left for a new attempt. */
   public boolean hasTimeLeft(long nowMillis) {
-    return leftMillis(nowMillis) >= MIN_ATTEMPT_MILLIS;
+    return remainingMillis(nowMillis) >= MIN_ATTEMPT_MILLIS;
   }
 
   /** Returns whether the request was sent to a server. */
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -148,7 +148,7 @@
     ForwardPlan plan = plan(Route.Kind.REPEATABLE, 3);
     assertThat(next(plan, 0), equalTo(Optional.of("a")));
     plan.onUncountedTime(600);
-    assertThat(plan.leftMillis(100), is(300L));
+    assertThat(plan.remainingMillis(100), is(300L));
     assertThat(plan.deadlineMillis(), is(1_000L));
     assertThat(plan.onEnded(Outcome.UNKNOWN, 200), is(Step.TRY_NEXT));
     assertThat(next(plan, 200), equalTo(Optional.of("b")));
--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -97,7 +97,7 @@
         call.host(),
         call.headers(),
         call.body(),
-        Math.max(1, plan.leftMillis(nowMillis)));
+        Math.max(1, plan.remainingMillis(nowMillis)));
   }
 
   private void onHedgeTimer(int attempt, ServerEntry server) {
