--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -99,7 +99,7 @@
    * Chooses the server for the next attempt and counts the attempt as in progress; empty if there
    * is no server or no attempt is left.
    */
-  public Optional<ServerEntry> next(
+  public Optional<ServerEntry> nextServer(
       Collection<ServerEntry> servers, ServerPicker picker, long nowMillis) {
     boolean maySend =
         possibleRuns + inProgress < Math.max(1, route.mostAttempts())
--- a/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
+++ b/core/src/test/java/org/passhaven/core/forward/ForwardPlanTest.java
@@ -48,7 +48,7 @@
   }
 
   private Optional<String> next(ForwardPlan plan, long now) {
-    return plan.next(servers, picker, now).map(server -> server.incarnation().id());
+    return plan.nextServer(servers, picker, now).map(server -> server.incarnation().id());
   }
 
   @Test
@@ -68,7 +68,7 @@
     assertThat(plan.onEnded(Outcome.NOT_RUN, 5), is(Step.TRY_NEXT));
     next(plan, 5);
     assertThat(plan.onEnded(Outcome.UNKNOWN, 10), is(Step.GIVE_UP));
-    assertThat(plan.next(servers, picker, 11).isPresent(), is(false));
+    assertThat(plan.nextServer(servers, picker, 11).isPresent(), is(false));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -174,7 +174,8 @@
         return crashGuard.isClaiming() || plan.inProgress() > 0;
       }
       List<ServerEntry> servers = candidates.of(service, plan);
-      Optional<ServerEntry> server = plan.next(servers, candidates.picker(), context.nowMillis());
+      Optional<ServerEntry> server =
+          plan.nextServer(servers, candidates.picker(), context.nowMillis());
       if (server.isEmpty()) {
         return plan.inProgress() > 0;
       }
