--- a/core/src/main/java/org/passhaven/core/memory/BodyUse.java
+++ b/core/src/main/java/org/passhaven/core/memory/BodyPurpose.java
@@ -3,7 +3,7 @@
 /**
  * Purpose for which a node holds a body in memory. Each purpose has a reserved share of the budget.
  */
-public enum BodyUse {
+public enum BodyPurpose {
   /** Request bodies, held until the request is answered. */
   REQUEST(1.0 / 8),
   /** Response bodies, held until the caller has read them. */
@@ -13,7 +13,7 @@
 
   private final double reservedShare;
 
-  BodyUse(double reservedShare) {
+  BodyPurpose(double reservedShare) {
     this.reservedShare = reservedShare;
   }
 
--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -38,7 +38,7 @@
 
   private final long totalBytes;
   private final long smallReserveBytes;
-  private final Map<BodyUse, Allocation> allocations = new EnumMap<>(BodyUse.class);
+  private final Map<BodyPurpose, Allocation> allocations = new EnumMap<>(BodyPurpose.class);
   private Runnable onReleased = () -> {};
   private long totalHeldBytes;
   private long peakBytes;
@@ -50,7 +50,7 @@
     }
     this.totalBytes = totalBytes;
     this.smallReserveBytes = (long) (totalBytes * SMALL_BODY_FRACTION);
-    for (BodyUse use : BodyUse.values()) {
+    for (BodyPurpose use : BodyPurpose.values()) {
       allocations.put(use, new Allocation((long) (totalBytes * use.reservedShare())));
     }
   }
@@ -72,7 +72,7 @@
   }
 
   /** Creates an empty reservation for a new body. */
-  public Reservation open(BodyUse use) {
+  public Reservation open(BodyPurpose use) {
     return new Reservation(use);
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Returns the number of bytes in use for one purpose. */
-  public long heldBytes(BodyUse use) {
+  public long heldBytes(BodyPurpose use) {
     return allocations.get(use).heldBytes;
   }
 
@@ -97,12 +97,12 @@
   }
 
   /** Returns the size of the largest body that fits into an otherwise empty budget. */
-  public long largestBodyBytes(BodyUse use) {
+  public long largestBodyBytes(BodyPurpose use) {
     long maxBytes = totalBytes - smallReserveBytes - unusedReservesOfOthers(use, false);
     return Math.max(SMALL_BODY_BYTES, Math.max(maxBytes / 2, maxBytes - COPY_BYTES));
   }
 
-  private boolean hasRoom(BodyUse use, long bodyBytes, long moreBytes) {
+  private boolean hasRoom(BodyPurpose use, long bodyBytes, long moreBytes) {
     long freeBytes = totalBytes - totalHeldBytes;
     if (bodyBytes > SMALL_BODY_BYTES) {
       freeBytes -= smallReserveBytes + unusedReservesOfOthers(use, true);
@@ -110,9 +110,9 @@
     return moreBytes <= freeBytes;
   }
 
-  private long unusedReservesOfOthers(BodyUse use, boolean nowHeld) {
+  private long unusedReservesOfOthers(BodyPurpose use, boolean nowHeld) {
     long unused = 0;
-    for (BodyUse other : BodyUse.values()) {
+    for (BodyPurpose other : BodyPurpose.values()) {
       if (other != use) {
         Allocation allocation = allocations.get(other);
         unused += Math.max(0, allocation.reservedBytes - (nowHeld ? allocation.heldBytes : 0));
@@ -121,7 +121,7 @@
     return unused;
   }
 
-  private void add(BodyUse use, long bytes) {
+  private void add(BodyPurpose use, long bytes) {
     allocations.get(use).heldBytes += bytes;
     totalHeldBytes += bytes;
     peakBytes = Math.max(peakBytes, totalHeldBytes);
@@ -143,11 +143,11 @@
 
   /** Reservation of one body in the budget. */
   public final class Reservation {
-    private final BodyUse use;
+    private final BodyPurpose use;
     private long bodyBytes;
     private boolean released;
 
-    private Reservation(BodyUse use) {
+    private Reservation(BodyPurpose use) {
       this.use = Objects.requireNonNull(use, "use");
     }
 
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -19,16 +19,16 @@
 class ByteBudgetTest {
   private static final long MB = 1L << 20;
   private static final int ORDINARY_BYTES = 800;
-  private static final List<BodyUse> USES = List.of(BodyUse.values());
+  private static final List<BodyPurpose> USES = List.of(BodyPurpose.values());
   private final ByteBudget budget = ByteBudget.of(290 * MB, 128 * MB);
 
-  private Reservation held(BodyUse use, long bytes) {
+  private Reservation held(BodyPurpose use, long bytes) {
     Reservation reservation = budget.open(use);
     assertThat(reservation.grow(bytes), is(true));
     return reservation;
   }
 
-  private List<Reservation> fill(BodyUse use, long bytes) {
+  private List<Reservation> fill(BodyPurpose use, long bytes) {
     List<Reservation> taken = new ArrayList<>();
     while (true) {
       Reservation next = budget.open(use);
@@ -49,34 +49,34 @@
 
   @Test
   void theLargestBodyOfTheUsualLimitFitsIntoAnIdleNode() {
-    for (BodyUse use : List.of(BodyUse.REQUEST, BodyUse.ANSWER)) {
+    for (BodyPurpose use : List.of(BodyPurpose.REQUEST, BodyPurpose.ANSWER)) {
       assertThat(budget.largestBodyBytes(use), greaterThanOrEqualTo(32 * MB));
       held(use, budget.largestBodyBytes(use)).release();
     }
-    Reservation tooLarge = budget.open(BodyUse.REQUEST);
-    assertThat(tooLarge.grow(budget.largestBodyBytes(BodyUse.REQUEST) + 1), is(false));
+    Reservation tooLarge = budget.open(BodyPurpose.REQUEST);
+    assertThat(tooLarge.grow(budget.largestBodyBytes(BodyPurpose.REQUEST) + 1), is(false));
     assertThat(budget.heldBytes(), equalTo(0L));
   }
 
   @Test
   void aThousandUnreadResponsesLeaveRoomForOtherRequestsAndUses() {
-    List<Reservation> unread = fill(BodyUse.ANSWER, 200_000);
+    List<Reservation> unread = fill(BodyPurpose.ANSWER, 200_000);
     assertThat(unread.size(), lessThan(1_000));
     assertThat(unread.size(), greaterThan(100));
-    held(BodyUse.REQUEST, MB);
-    held(BodyUse.JOB, MB);
+    held(BodyPurpose.REQUEST, MB);
+    held(BodyPurpose.JOB, MB);
     for (int i = 0; i < 500; i++) {
-      held(BodyUse.REQUEST, ORDINARY_BYTES);
-      held(BodyUse.ANSWER, ORDINARY_BYTES);
+      held(BodyPurpose.REQUEST, ORDINARY_BYTES);
+      held(BodyPurpose.ANSWER, ORDINARY_BYTES);
     }
     assertThat(budget.heldBytes(), lessThanOrEqualTo(budget.totalBytes()));
   }
 
   @Test
   void eachUseKeepsItsShareWhenAnotherTakesAllItCan() {
-    for (BodyUse greedy : BodyUse.values()) {
+    for (BodyPurpose greedy : BodyPurpose.values()) {
       List<Reservation> taken = fill(greedy, 100_000);
-      for (BodyUse other : BodyUse.values()) {
+      for (BodyPurpose other : BodyPurpose.values()) {
         if (other != greedy) {
           held(other, MB).release();
         }
@@ -88,8 +88,8 @@
 
   @Test
   void smallBodiesMayUseTheWholeBudgetAndAreThenRefused() {
-    fill(BodyUse.REQUEST, MB);
-    List<Reservation> small = fill(BodyUse.REQUEST, ByteBudget.SMALL_BODY_BYTES);
+    fill(BodyPurpose.REQUEST, MB);
+    List<Reservation> small = fill(BodyPurpose.REQUEST, ByteBudget.SMALL_BODY_BYTES);
     assertThat(small.size(), greaterThan(100));
     assertThat(
         budget.totalBytes() - budget.heldBytes(), lessThan(2L * ByteBudget.SMALL_BODY_BYTES));
@@ -98,9 +98,9 @@
 
   @Test
   void aBodyThatOutgrowsTheSmallSizeIsTreatedAsLarge() {
-    fill(BodyUse.REQUEST, MB);
-    fill(BodyUse.REQUEST, 20_000);
-    Reservation growing = held(BodyUse.REQUEST, ByteBudget.SMALL_BODY_BYTES);
+    fill(BodyPurpose.REQUEST, MB);
+    fill(BodyPurpose.REQUEST, 20_000);
+    Reservation growing = held(BodyPurpose.REQUEST, ByteBudget.SMALL_BODY_BYTES);
     assertThat(growing.grow(1), is(false));
     growing.release();
   }
@@ -109,7 +109,7 @@
   void eachReservationIsReleasedOnceAndHoldsNothingAfterwards() {
     int[] releases = new int[1];
     budget.whenReleased(() -> releases[0]++);
-    Reservation body = held(BodyUse.REQUEST, MB);
+    Reservation body = held(BodyPurpose.REQUEST, MB);
     body.release();
     body.release();
     assertThat(releases[0], equalTo(1));
@@ -117,7 +117,7 @@
     assertThat(body.grow(1), is(false));
     body.take(1);
     assertThat(budget.heldBytes(), equalTo(0L));
-    assertThrows(IllegalArgumentException.class, () -> budget.open(BodyUse.JOB).grow(-1));
+    assertThrows(IllegalArgumentException.class, () -> budget.open(BodyPurpose.JOB).grow(-1));
   }
 
   @Test
@@ -139,7 +139,7 @@
         }
       }
       assertThat(budget.heldBytes(), lessThanOrEqualTo(budget.totalBytes()));
-      for (BodyUse use : BodyUse.values()) {
+      for (BodyPurpose use : BodyPurpose.values()) {
         assertThat(budget.heldBytes(use), greaterThanOrEqualTo(0L));
       }
     }
