--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -67,7 +67,7 @@
   }
 
   /** Sets the task to run after each release. */
-  public void whenReleased(Runnable task) {
+  public void setReleaseListener(Runnable task) {
     onReleased = Objects.requireNonNull(task, "task");
   }
 
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -108,7 +108,7 @@
   @Test
   void eachReservationIsReleasedOnceAndHoldsNothingAfterwards() {
     int[] releases = new int[1];
-    budget.whenReleased(() -> releases[0]++);
+    budget.setReleaseListener(() -> releases[0]++);
     Reservation body = held(BodyPurpose.REQUEST, MB);
     body.release();
     body.release();
