--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -155,7 +155,7 @@
      * Reserves more bytes for the body; returns false and reserves nothing if the budget is
      * exhausted.
      */
-    public boolean grow(long bytes) {
+    public boolean tryGrow(long bytes) {
       if (bytes < 0) {
         throw new IllegalArgumentException("bytes is " + bytes + " but must not be negative");
       }
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -24,7 +24,7 @@
 
   private Reservation held(BodyPurpose use, long bytes) {
     Reservation reservation = budget.open(use);
-    assertThat(reservation.grow(bytes), is(true));
+    assertThat(reservation.tryGrow(bytes), is(true));
     return reservation;
   }
 
@@ -32,7 +32,7 @@
     List<Reservation> taken = new ArrayList<>();
     while (true) {
       Reservation next = budget.open(use);
-      if (!next.grow(bytes)) {
+      if (!next.tryGrow(bytes)) {
         return taken;
       }
       taken.add(next);
@@ -54,7 +54,7 @@
       held(use, budget.largestBodyBytes(use)).release();
     }
     Reservation tooLarge = budget.open(BodyPurpose.REQUEST);
-    assertThat(tooLarge.grow(budget.largestBodyBytes(BodyPurpose.REQUEST) + 1), is(false));
+    assertThat(tooLarge.tryGrow(budget.largestBodyBytes(BodyPurpose.REQUEST) + 1), is(false));
     assertThat(budget.heldBytes(), equalTo(0L));
   }
 
@@ -101,7 +101,7 @@
     fill(BodyPurpose.REQUEST, MB);
     fill(BodyPurpose.REQUEST, 20_000);
     Reservation growing = held(BodyPurpose.REQUEST, ByteBudget.SMALL_BODY_BYTES);
-    assertThat(growing.grow(1), is(false));
+    assertThat(growing.tryGrow(1), is(false));
     growing.release();
   }
 
@@ -114,10 +114,10 @@
     body.release();
     assertThat(releases[0], equalTo(1));
     assertThat(budget.heldBytes(), equalTo(0L));
-    assertThat(body.grow(1), is(false));
+    assertThat(body.tryGrow(1), is(false));
     body.take(1);
     assertThat(budget.heldBytes(), equalTo(0L));
-    assertThrows(IllegalArgumentException.class, () -> budget.open(BodyPurpose.JOB).grow(-1));
+    assertThrows(IllegalArgumentException.class, () -> budget.open(BodyPurpose.JOB).tryGrow(-1));
   }
 
   @Test
@@ -127,12 +127,12 @@
     for (int i = 0; i < 20_000; i++) {
       if (open.isEmpty() || random.nextInt(3) > 0) {
         Reservation next = budget.open(USES.get(random.nextInt(USES.size())));
-        next.grow(random.nextInt(8) == 0 ? random.nextInt(4 << 20) : random.nextInt(2_000));
+        next.tryGrow(random.nextInt(8) == 0 ? random.nextInt(4 << 20) : random.nextInt(2_000));
         open.add(next);
       } else {
         Reservation existing = open.get(random.nextInt(open.size()));
         if (random.nextBoolean()) {
-          existing.grow(random.nextInt(100_000));
+          existing.tryGrow(random.nextInt(100_000));
         } else {
           existing.release();
           open.remove(existing);
