--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -171,7 +171,7 @@
      * Reserves bytes unconditionally, even beyond the budget: for a body that is in memory already
      * or is too small to be refused.
      */
-    public void take(long bytes) {
+    public void forceGrow(long bytes) {
       if (!released) {
         resizeTo(bodyBytes + bytes);
       }
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -115,7 +115,7 @@
     assertThat(releases[0], equalTo(1));
     assertThat(budget.heldBytes(), equalTo(0L));
     assertThat(body.tryGrow(1), is(false));
-    body.take(1);
+    body.forceGrow(1);
     assertThat(budget.heldBytes(), equalTo(0L));
     assertThrows(IllegalArgumentException.class, () -> budget.open(BodyPurpose.JOB).tryGrow(-1));
   }
