--- a/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
+++ b/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
@@ -26,7 +26,7 @@
    * Counts a body as in flight, or returns false if it has to wait. A body is always accepted if no
    * other is in flight to the server.
    */
-  public boolean take(String server, long bytes) {
+  public boolean tryAcquire(String server, long bytes) {
     long inFlightBytes = bytesByServer.getOrDefault(server, 0L);
     if (inFlightBytes > 0 && inFlightBytes + bytes > MAX_BYTES_PER_SERVER) {
       return false;
--- a/core/src/test/java/org/passhaven/core/memory/InFlightBytesTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/InFlightBytesTest.java
@@ -13,12 +13,12 @@
 
   @Test
   void bodiesBeyondTheBoundWaitUntilOneIsAnswered() {
-    assertThat(inFlight.take("a", HALF), is(true));
-    assertThat(inFlight.take("a", HALF), is(true));
-    assertThat(inFlight.take("a", 1), is(false));
-    assertThat("another server has its own bound", inFlight.take("b", HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", 1), is(false));
+    assertThat("another server has its own bound", inFlight.tryAcquire("b", HALF), is(true));
     inFlight.release("a", HALF);
-    assertThat(inFlight.take("a", HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", HALF), is(true));
     inFlight.release("a", HALF);
     inFlight.release("a", HALF);
     inFlight.release("b", HALF);
@@ -27,11 +27,11 @@
 
   @Test
   void aBodyLargerThanTheBoundIsSentAlone() {
-    assertThat(inFlight.take("a", 8 * HALF), is(true));
-    assertThat(inFlight.take("a", 1), is(false));
+    assertThat(inFlight.tryAcquire("a", 8 * HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", 1), is(false));
     inFlight.release("a", 8 * HALF);
-    assertThat(inFlight.take("a", HALF), is(true));
-    assertThat(inFlight.take("a", 8 * HALF), is(false));
+    assertThat(inFlight.tryAcquire("a", HALF), is(true));
+    assertThat(inFlight.tryAcquire("a", 8 * HALF), is(false));
   }
 
   @Test
