--- a/core/src/main/java/org/passhaven/core/placement/Partition.java
+++ b/core/src/main/java/org/passhaven/core/placement/Partition.java
@@ -13,13 +13,13 @@
   /** Returns the members of one partition, ordered by name. */
   public static List<Member> membersOf(int partition, int partitions, Collection<Member> members) {
     return members.stream()
-        .filter(member -> partOf(member, partitions) == partition)
+        .filter(member -> partitionOf(member, partitions) == partition)
         .sorted(java.util.Comparator.comparing(Member::name))
         .toList();
   }
 
   /** Returns the partition that a member belongs to. */
-  public static int partOf(Member member, int partitions) {
+  public static int partitionOf(Member member, int partitions) {
     int heaviest = 0;
     long weight = 0;
     for (int partition = 0; partition < partitions; partition++) {
