--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -102,7 +102,7 @@
   public Optional<ServerEntry> nextServer(
       Collection<ServerEntry> servers, ServerPicker picker, long nowMillis) {
     boolean maySend =
-        possibleRuns + inProgress < Math.max(1, route.mostAttempts())
+        possibleRuns + inProgress < Math.max(1, route.maxAttempts())
             && refusals < MAX_REFUSALS
             && hasTimeLeft(nowMillis)
             && (mayRepeat || (possibleRuns == 0 && inProgress == 0));
@@ -125,7 +125,7 @@
    * hedged.
    */
   public Optional<Long> hedgeAfterMillis() {
-    if (!mayRepeat || route.mostAttempts() < 2) {
+    if (!mayRepeat || route.maxAttempts() < 2) {
       return Optional.empty();
     }
     return Optional.of(
@@ -149,7 +149,7 @@
       }
       case UNKNOWN -> possibleRuns++;
     }
-    boolean attemptsLeft = possibleRuns + inProgress < Math.max(1, route.mostAttempts());
+    boolean attemptsLeft = possibleRuns + inProgress < Math.max(1, route.maxAttempts());
     boolean repeatable = mayRepeat || possibleRuns == 0;
     if (attemptsLeft && repeatable && hasTimeLeft(nowMillis) && refusals < MAX_REFUSALS) {
       return Step.TRY_NEXT;
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -241,7 +241,7 @@
             route ->
                 new JobPolicy(
                     route.shares().get(0).service(),
-                    Math.max(1, route.mostAttempts()),
+                    Math.max(1, route.maxAttempts()),
                     route.singleVersion(),
                     directory
                         .routes()
--- a/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ScoreCallQueue.java
@@ -104,7 +104,7 @@
       actionHandler.accept(scheduler.onScored(job, item, answered.answer().signature()));
       return;
     }
-    int maxErrors = Math.max(1, route.mostAttempts());
+    int maxErrors = Math.max(1, route.maxAttempts());
     LOG.atInfo()
         .addKeyValue("job", job)
         .addKeyValue("item", item)
