--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -248,7 +248,7 @@
                         .tenants()
                         .priorityOf(submission.tenant())
                         .orElse(route.priority()),
-                    route.giveUpMillis()));
+                    route.abandonAfterMillis()));
   }
 
   private void apply(List<JobAction> actions) {
