--- a/core/src/main/java/org/passhaven/core/route/RouteTable.java
+++ b/core/src/main/java/org/passhaven/core/route/RouteTable.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns whether any route uses a service; servers of other services are ignored. */
-  public boolean names(String service) {
+  public boolean usesService(String service) {
     return services.contains(service);
   }
 
--- a/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
@@ -45,9 +45,9 @@
 
   @Test
   void onlyServicesOfRoutesAreUsed() {
-    assertThat(table.names("s"), equalTo(true));
-    assertThat(table.names("t"), equalTo(true));
-    assertThat(table.names("u"), equalTo(false));
+    assertThat(table.usesService("s"), equalTo(true));
+    assertThat(table.usesService("t"), equalTo(true));
+    assertThat(table.usesService("u"), equalTo(false));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -74,7 +74,7 @@
   /** Returns the servers of routed services; others may not belong to this platform. */
   private List<ServerEntry> servers() {
     return directory.servers().all().stream()
-        .filter(server -> directory.routes().names(server.service()))
+        .filter(server -> directory.routes().usesService(server.service()))
         .toList();
   }
 
