--- a/core/src/main/java/org/passhaven/core/route/ShareRotation.java
+++ b/core/src/main/java/org/passhaven/core/route/WeightedRoundRobin.java
@@ -10,7 +10,7 @@
  * at a random position, so that many nodes with few requests each match the weights in total. Not
  * thread-safe.
  */
-public final class ShareRotation {
+public final class WeightedRoundRobin {
   private static final long MAX_INITIAL_STEPS = 10_000;
   private final IntUnaryOperator randomBelow;
   private final Map<String, Map<String, Long>> creditByRoute = new HashMap<>();
@@ -19,7 +19,7 @@
    * Creates a rotation; {@code randomBelow} returns a random number from zero (inclusive) to its
    * argument (exclusive).
    */
-  public ShareRotation(IntUnaryOperator randomBelow) {
+  public WeightedRoundRobin(IntUnaryOperator randomBelow) {
     this.randomBelow = Objects.requireNonNull(randomBelow, "randomBelow");
   }
 
--- a/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/passhaven/core/route/RouteTableTest.java
@@ -71,7 +71,7 @@
   @Test
   void requestsMatchTheWeightsExactlyOverWholeCycles() {
     Route split = route("r", "/r/", new ServiceShare("s", 90), new ServiceShare("t", 10));
-    ShareRotation rotation = new ShareRotation(bound -> bound / 3);
+    WeightedRoundRobin rotation = new WeightedRoundRobin(bound -> bound / 3);
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < 1_000; i++) {
       counts.merge(rotation.next(split), 1, Integer::sum);
@@ -85,7 +85,7 @@
     int second = 0;
     for (int node = 0; node < 100; node++) {
       int start = node;
-      second += new ShareRotation(bound -> start).next(split).equals("t") ? 1 : 0;
+      second += new WeightedRoundRobin(bound -> start).next(split).equals("t") ? 1 : 0;
     }
     assertThat(second, equalTo(25));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -15,7 +15,7 @@
 import org.passhaven.core.forward.ForwardPlan.Outcome;
 import org.passhaven.core.request.RateMeter;
 import org.passhaven.core.route.Route;
-import org.passhaven.core.route.ShareRotation;
+import org.passhaven.core.route.WeightedRoundRobin;
 import org.passhaven.protocol.member.MemberBeat;
 import org.passhaven.spi.BackEndService.Answer;
 import org.passhaven.spi.BackEndService.Call;
@@ -43,7 +43,7 @@
   private final GatewayContext context;
   private final PlatformDirectory directory;
   private final CrashTracker crashes;
-  private final ShareRotation rotation;
+  private final WeightedRoundRobin rotation;
   private final ServerHealth health = new ServerHealth();
   private final ServerCandidates candidates;
   private final RequestAdmission admission;
@@ -72,7 +72,7 @@
     this.context = Objects.requireNonNull(context, "context");
     this.directory = Objects.requireNonNull(directory, "directory");
     this.crashes = Objects.requireNonNull(crashes, "crashes");
-    this.rotation = new ShareRotation(context.randomBelow());
+    this.rotation = new WeightedRoundRobin(context.randomBelow());
     this.candidates = new ServerCandidates(context, directory, health, liveNodes);
     this.admission = new RequestAdmission(context, directory, directory.servers()::readyServersOf);
     this.requestRate = new RateMeter(context.nowMillis());
