--- a/core/src/main/java/org/passhaven/core/routing/EngineView.java
+++ b/core/src/main/java/org/passhaven/core/routing/EngineView.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns the number of further sequences that the engine can run. */
-  public int room() {
+  public int freeCapacity() {
     return usable ? Math.max(0, capacity - load) : 0;
   }
 }
--- a/core/src/main/java/org/passhaven/core/routing/LeastLoadedPicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/LeastLoadedPicker.java
@@ -40,7 +40,7 @@
   }
 
   private int freeCapacityOf(EngineView view) {
-    return view.room() - assigned.getOrDefault(view.id(), 0);
+    return view.freeCapacity() - assigned.getOrDefault(view.id(), 0);
   }
 
   private double score(EngineView view, ServerId affinity) {
