--- a/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
+++ b/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
@@ -67,7 +67,7 @@
   }
 
   /** Records that an order was answered or failed. */
-  public void onAnswer(ServerId engine, boolean done, long nowMillis) {
+  public void onResponse(ServerId engine, boolean done, long nowMillis) {
     inFlight.remove(engine);
     if (done) {
       backoffs.remove(engine);
--- a/core/src/test/java/org/passhaven/core/weights/VersionRolloutTest.java
+++ b/core/src/test/java/org/passhaven/core/weights/VersionRolloutTest.java
@@ -26,7 +26,7 @@
     List<EngineView> engines = List.of(engine("a", 0, 5), engine("b", 0, 0), engine("c", 0, 1));
     assertThat(ids(rollout.plan(engines, Set.of(), 1, 0)), equalTo(List.of("b", "c")));
     assertThat(rollout.plan(engines, Set.of(), 1, 0), empty());
-    rollout.onAnswer(new ServerId("b"), true, 10);
+    rollout.onResponse(new ServerId("b"), true, 10);
     assertThat(
         ids(rollout.plan(List.of(engine("a", 0, 5), engine("b", 1, 0)), Set.of(), 1, 10)),
         equalTo(List.of("a")));
@@ -37,10 +37,10 @@
     VersionRollout rollout = new VersionRollout(1);
     List<EngineView> engines = List.of(engine("a", 0, 0));
     rollout.plan(engines, Set.of(), 1, 0);
-    rollout.onAnswer(new ServerId("a"), false, 0);
+    rollout.onResponse(new ServerId("a"), false, 0);
     assertThat(rollout.plan(engines, Set.of(), 1, 499), empty());
     assertThat(ids(rollout.plan(engines, Set.of(), 1, 500)), equalTo(List.of("a")));
-    rollout.onAnswer(new ServerId("a"), false, 500);
+    rollout.onResponse(new ServerId("a"), false, 500);
     assertThat(rollout.plan(engines, Set.of(), 1, 1_499), empty());
     assertThat(ids(rollout.plan(engines, Set.of(), 1, 1_500)), equalTo(List.of("a")));
   }
--- a/node/src/main/java/org/passhaven/node/run/VersionOrders.java
+++ b/node/src/main/java/org/passhaven/node/run/VersionOrders.java
@@ -45,7 +45,7 @@
   }
 
   private void onOutcome(EngineView engine, VersionOrder order, boolean done) {
-    rollout.onAnswer(engine.id(), done, context.timers().nowMillis());
+    rollout.onResponse(engine.id(), done, context.timers().nowMillis());
     if (done) {
       engines.onVersionSeen(engine.id(), engine.incarnation(), order.version());
     }
