--- a/core/src/test/java/org/passhaven/core/job/JobTableTest.java
+++ b/core/src/test/java/org/passhaven/core/job/JobTableTest.java
@@ -18,7 +18,7 @@
 import org.passhaven.protocol.job.JobRecord.JobEnded;
 import org.passhaven.protocol.job.JobRecord.JobPart;
 import org.passhaven.protocol.job.JobSubmission;
-import org.passhaven.protocol.job.TextPlace;
+import org.passhaven.protocol.job.TextLocation;
 
 /** Guards against readers of the log that disagree on jobs, results or positions. */
 class JobTableTest {
@@ -39,7 +39,7 @@
   }
 
   private static ItemFinished finished(String job, String item, String score) {
-    return new ItemFinished(job, item, true, new TextPlace(7, 10), List.of(1L), score);
+    return new ItemFinished(job, item, true, new TextLocation(7, 10), List.of(1L), score);
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
@@ -11,7 +11,7 @@
 import org.passhaven.protocol.CodecException;
 import org.passhaven.protocol.job.JobRecord.ItemFinished;
 import org.passhaven.protocol.job.ResultText;
-import org.passhaven.protocol.job.TextPlace;
+import org.passhaven.protocol.job.TextLocation;
 import org.passhaven.spi.LogService;
 import org.passhaven.spi.PlatformException;
 import org.slf4j.Logger;
@@ -145,10 +145,10 @@
 
   /** Estimates the size of a read that covers the missing texts after the first one. */
   private static int readSizeBytes(List<ItemFinished> missing) {
-    TextPlace first = missing.get(0).text();
+    TextLocation first = missing.get(0).text();
     long bytes = first.bytes();
     for (ItemFinished result : missing.subList(1, missing.size())) {
-      TextPlace place = result.text();
+      TextLocation place = result.text();
       if (place != null && place.offset() > first.offset()) {
         long records = place.offset() - first.offset();
         bytes = Math.max(bytes, (records + 1) * Math.max(first.bytes(), place.bytes()));
--- a/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultWriter.java
@@ -12,7 +12,7 @@
 import org.passhaven.protocol.job.ItemResult;
 import org.passhaven.protocol.job.JobRecord;
 import org.passhaven.protocol.job.ResultText;
-import org.passhaven.protocol.job.TextPlace;
+import org.passhaven.protocol.job.TextLocation;
 import org.passhaven.spi.PlatformException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,7 +41,7 @@
     final ItemResult result;
     final ResultText resultText;
     final byte[] encodedText;
-    TextPlace textLocation;
+    TextLocation textLocation;
 
     PendingResult(ItemResult result) {
       this.result = result;
@@ -156,7 +156,7 @@
   private void onTextsAppended(PartitionQueue queue, List<PendingResult> batch, long firstOffset) {
     long offset = firstOffset;
     for (PendingResult pending : batch) {
-      pending.textLocation = new TextPlace(offset, pending.encodedText.length);
+      pending.textLocation = new TextLocation(offset, pending.encodedText.length);
       log.texts().put(queue.textStream, offset, pending.resultText);
       offset++;
     }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -22,7 +22,7 @@
 import org.passhaven.protocol.job.JobRecord;
 import org.passhaven.protocol.job.JobSubmission;
 import org.passhaven.protocol.job.ResultText;
-import org.passhaven.protocol.job.TextPlace;
+import org.passhaven.protocol.job.TextLocation;
 import org.passhaven.spi.DutyService;
 
 /** Guards against answers to callers of batch jobs that the log does not back. */
@@ -71,7 +71,7 @@
     List<byte[]> texts = log.stream(jobLog.textStreamOf("m"));
     byte[] encoded = Codec.encode(new ResultText("j", item, text));
     texts.add(encoded);
-    TextPlace place = new TextPlace(texts.size() - 1, encoded.length);
+    TextLocation place = new TextLocation(texts.size() - 1, encoded.length);
     JobRecord record = new JobRecord.ItemFinished("j", item, true, place, List.of(1L), "s");
     log.stream(jobLog.streamOf("m")).add(Codec.encode(record));
   }
@@ -212,7 +212,7 @@
     ask(service.submit(submission("j", new byte[3]), 2_000));
     log.stream(jobLog.textStreamOf("m")).add(Codec.encode(new ResultText("j", "y", "another")));
     JobRecord record =
-        new JobRecord.ItemFinished("j", "x", true, new TextPlace(0, 30), List.of(1L), "s");
+        new JobRecord.ItemFinished("j", "x", true, new TextLocation(0, 30), List.of(1L), "s");
     log.stream(jobLog.streamOf("m")).add(Codec.encode(record));
     timers.advance(200);
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -18,7 +18,7 @@
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.job.JobRecord.ItemFinished;
 import org.passhaven.protocol.job.ResultText;
-import org.passhaven.protocol.job.TextPlace;
+import org.passhaven.protocol.job.TextLocation;
 import org.passhaven.spi.DutyService;
 import org.passhaven.spi.LogService;
 
@@ -68,7 +68,7 @@
   private ItemFinished appendResult(String item, String text) {
     byte[] record = Codec.encode(new ResultText("j", item, text));
     log.stream(STREAM).add(record);
-    TextPlace place = new TextPlace(log.stream(STREAM).size() - 1, record.length);
+    TextLocation place = new TextLocation(log.stream(STREAM).size() - 1, record.length);
     return new ItemFinished("j", item, true, place, List.of(1L), "s");
   }
 
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
@@ -64,7 +64,12 @@
    * @param score score from the scoring service; empty if there is none
    */
   record ItemFinished(
-      String job, String item, boolean completed, TextPlace text, List<Long> versions, String score)
+      String job,
+      String item,
+      boolean completed,
+      TextLocation text,
+      List<Long> versions,
+      String score)
       implements OfJob {
     public ItemFinished {
       Objects.requireNonNull(job, "job");
--- a/protocol/src/main/java/org/passhaven/protocol/job/TextPlace.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/TextLocation.java
@@ -6,8 +6,8 @@
  * @param offset offset of the record
  * @param bytes size of the record in bytes
  */
-public record TextPlace(long offset, int bytes) {
-  public TextPlace {
+public record TextLocation(long offset, int bytes) {
+  public TextLocation {
     if (offset < 0 || bytes < 0) {
       throw new IllegalArgumentException("offset and bytes must not be negative");
     }
