--- a/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
+++ b/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
@@ -27,7 +27,8 @@
    */
   private static final int LOST_BELOW_ONE_IN = 4;
 
-  private final Map<MemberBeat.Start, IncarnationHistory> histories = new LinkedHashMap<>();
+  private final Map<MemberBeat.NodeIncarnation, IncarnationHistory> histories =
+      new LinkedHashMap<>();
 
   /** Heartbeats read of one incarnation. */
   private static final class IncarnationHistory {
--- a/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
@@ -33,7 +33,7 @@
   public static final long FIRST_IN_LOG_MILLIS = 1;
 
   /** An incarnation of a node. */
-  public record Start(String node, long incarnation) {}
+  public record NodeIncarnation(String node, long incarnation) {}
 
   public MemberBeat {
     Objects.requireNonNull(node, "node");
@@ -67,7 +67,7 @@
   }
 
   /** Returns the incarnation of the node that wrote this heartbeat. */
-  public Start start() {
-    return new Start(node, incarnation);
+  public NodeIncarnation start() {
+    return new NodeIncarnation(node, incarnation);
   }
 }
