--- a/core/src/main/java/org/passhaven/core/member/BeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/BeatTable.java
@@ -92,7 +92,7 @@
     boolean isSilent = known == null || isSilent(known);
     if (isSilent || heartbeat.incarnation() >= known.heartbeat().incarnation()) {
       boolean isSameIncarnation =
-          known != null && known.heartbeat().start().equals(heartbeat.start());
+          known != null && known.heartbeat().nodeIncarnation().equals(heartbeat.nodeIncarnation());
       int firstPosition = isSameIncarnation ? known.firstPosition() : position;
       members.put(
           heartbeat.node(), new LatestHeartbeat(heartbeat, firstPosition, position, nowMillis));
--- a/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
+++ b/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
@@ -58,7 +58,7 @@
   void onHeartbeat(MemberBeat heartbeat, int position) {
     IncarnationHistory history =
         histories.computeIfAbsent(
-            heartbeat.start(), start -> new IncarnationHistory(heartbeat, position));
+            heartbeat.nodeIncarnation(), start -> new IncarnationHistory(heartbeat, position));
     history.newest = heartbeat;
     history.position = position;
   }
--- a/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
@@ -67,7 +67,7 @@
   }
 
   /** Returns the incarnation of the node that wrote this heartbeat. */
-  public NodeIncarnation start() {
+  public NodeIncarnation nodeIncarnation() {
     return new NodeIncarnation(node, incarnation);
   }
 }
