--- a/node/src/main/java/org/passhaven/node/request/CarriedOutcome.java
+++ b/node/src/main/java/org/passhaven/node/request/CarriedOutcome.java
@@ -14,11 +14,16 @@
     if (outcome instanceof RequestOutcome.Answered answered) {
       Response response = answered.response();
       return new Carried(
-          Carried.Word.ANSWERED, response.status(), response.contentType(), response.body(), "", 0);
+          Carried.Outcome.ANSWERED,
+          response.status(),
+          response.contentType(),
+          response.body(),
+          "",
+          0);
     }
     if (outcome instanceof RequestOutcome.RefusedNotRun refused) {
       return new Carried(
-          Carried.Word.REFUSED_NOT_RUN,
+          Carried.Outcome.REFUSED_NOT_RUN,
           0,
           "",
           NO_BODY,
@@ -26,7 +31,7 @@
           refused.retryAfterMillis());
     }
     String reason = ((RequestOutcome.OutcomeUnknown) outcome).reason();
-    return new Carried(Carried.Word.OUTCOME_UNKNOWN, 0, "", NO_BODY, reason, 0);
+    return new Carried(Carried.Outcome.OUTCOME_UNKNOWN, 0, "", NO_BODY, reason, 0);
   }
 
   static RequestOutcome toOutcome(Carried carried) {
--- a/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
+++ b/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
@@ -49,10 +49,15 @@
    * @param retryAfterMillis delay before a retry if the request was refused; 0 if unknown
    */
   record Carried(
-      Word word, int status, String contentType, byte[] body, String reason, long retryAfterMillis)
+      Outcome word,
+      int status,
+      String contentType,
+      byte[] body,
+      String reason,
+      long retryAfterMillis)
       implements PeerResponse {
     /** Outcome reported to the caller. */
-    public enum Word {
+    public enum Outcome {
       ANSWERED,
       REFUSED_NOT_RUN,
       OUTCOME_UNKNOWN
