--- a/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ForwardAttempts.java
@@ -64,7 +64,9 @@
     Target target = ServerTargets.of(server);
     BackEndService backEnds = context.backEnds();
     Cancellable sending =
-        (isHedge ? backEnds.callAnew(target, attemptCall) : backEnds.call(target, attemptCall))
+        (isHedge
+                ? backEnds.callOnNewConnection(target, attemptCall)
+                : backEnds.call(target, attemptCall))
             .onTermination()
             .invoke(() -> health.onEnded(server.incarnation()))
             .subscribe()
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public Uni<Answer> callAnew(Target target, Call call) {
+    public Uni<Answer> callOnNewConnection(Target target, Call call) {
       return Uni.createFrom()
           .emitter(emitter -> sent.add(new Sent(target.instance(), true, emitter)));
     }
--- a/spi/src/main/java/org/passhaven/spi/BackEndService.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndService.java
@@ -90,7 +90,7 @@
    * Runs a request on a new connection, so that it is not affected by a connection that went
    * silent.
    */
-  default Uni<Answer> callAnew(Target target, Call call) {
+  default Uni<Answer> callOnNewConnection(Target target, Call call) {
     return call(target, call);
   }
 
