--- a/node/src/main/java/org/passhaven/node/WatchedTimers.java
+++ b/node/src/main/java/org/passhaven/node/WatchedTimers.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import org.passhaven.core.lease.ClockWatch;
-import org.passhaven.spi.ClockGaps;
+import org.passhaven.spi.ClockJumps;
 import org.passhaven.spi.Timers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -15,7 +15,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(WatchedTimers.class);
   private final Timers timers;
   private final ClockWatch watch = new ClockWatch();
-  private ClockGaps gaps = ClockGaps.NONE;
+  private ClockJumps gaps = ClockJumps.NONE;
 
   /** Watches the clocks of {@code timers}. */
   public WatchedTimers(Timers timers) {
@@ -27,7 +27,7 @@
     long now = timers.nowMillis();
     long gap = watch.look(now, timers.timeOfDayMillis());
     if (gap != 0) {
-      gaps = new ClockGaps(gaps.count() + 1, gaps.lostMillis() + Math.max(0, gap));
+      gaps = new ClockJumps(gaps.count() + 1, gaps.lostMillis() + Math.max(0, gap));
       LOG.atWarn().addKeyValue("gapMillis", gap).log("clock: the clocks have moved apart");
     }
     return now;
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public ClockGaps clockGaps() {
+  public ClockJumps clockGaps() {
     return gaps;
   }
 
--- a/spi/src/main/java/org/passhaven/spi/ClockGaps.java
+++ b/spi/src/main/java/org/passhaven/spi/ClockJumps.java
@@ -7,7 +7,7 @@
  * @param count number of jumps
  * @param lostMillis total time that the monotonic clock may not have counted
  */
-public record ClockGaps(long count, long lostMillis) {
+public record ClockJumps(long count, long lostMillis) {
   /** No jumps detected. */
-  public static final ClockGaps NONE = new ClockGaps(0, 0);
+  public static final ClockJumps NONE = new ClockJumps(0, 0);
 }
--- a/spi/src/main/java/org/passhaven/spi/Timers.java
+++ b/spi/src/main/java/org/passhaven/spi/Timers.java
@@ -30,8 +30,8 @@
    * Returns the clock jumps so far, including any detected by the latest call of {@link
    * #nowMillis}.
    */
-  default ClockGaps clockGaps() {
-    return ClockGaps.NONE;
+  default ClockJumps clockGaps() {
+    return ClockJumps.NONE;
   }
 
   /** Runs {@code task} once after a delay. */
