--- a/node/src/main/java/org/passhaven/node/WatchedTimers.java
+++ b/node/src/main/java/org/passhaven/node/WatchedTimers.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public ClockJumps clockGaps() {
+  public ClockJumps clockJumps() {
     return gaps;
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -177,7 +177,7 @@
   /** Returns the current time, after invalidating the lease if the process was suspended. */
   private long nowMillis() {
     long now = context.nowMillis();
-    long jumps = context.timers().clockGaps().count();
+    long jumps = context.timers().clockJumps().count();
     if (jumps != knownClockJumps) {
       knownClockJumps = jumps;
       lease.onClockGap();
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -141,7 +141,7 @@
    */
   private long nowMillis() {
     long now = context.nowMillis();
-    long jumps = context.timers().clockGaps().count();
+    long jumps = context.timers().clockJumps().count();
     if (jumps != knownClockJumps) {
       knownClockJumps = jumps;
       lastOwnReadMillis = NEVER_MILLIS;
@@ -249,7 +249,7 @@
   }
 
   private void recordWritten(long offset) {
-    boolean isSentSinceJump = clockJumpsAtAppend == context.timers().clockGaps().count();
+    boolean isSentSinceJump = clockJumpsAtAppend == context.timers().clockJumps().count();
     if (firstOffsetAfterJump == Long.MAX_VALUE && isSentSinceJump) {
       firstOffsetAfterJump = offset;
       if (tail.position() > offset) {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -346,7 +346,7 @@
   }
 
   private long lostToClockJumpsMillis() {
-    return context.timers().clockGaps().lostMillis();
+    return context.timers().clockJumps().lostMillis();
   }
 
   private static Outcome classify(Answer answer) {
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -83,7 +83,7 @@
     this.scorer = Objects.requireNonNull(scorer, "scorer");
     this.stream = new StreamClient(context, shard.stream(), this, READ_WAIT_MILLIS);
     this.lease = new LeaseWatch(context.settings().lease(), context.timers().nowMillis());
-    this.clockGapsSeen = context.timers().clockGaps().count();
+    this.clockGapsSeen = context.timers().clockJumps().count();
     this.generations = new GenerationRunner(context, engines, new GenerationListener());
     this.pulls = new PullQueue(context.timers());
   }
@@ -445,7 +445,7 @@
   /** Asked before each act as holder: by then a suspension has ended the lease. */
   private long now() {
     long now = context.timers().nowMillis();
-    long gaps = context.timers().clockGaps().count();
+    long gaps = context.timers().clockJumps().count();
     if (gaps != clockGapsSeen) {
       clockGapsSeen = gaps;
       lease.onClockGap(now);
--- a/spi/src/main/java/org/passhaven/spi/Timers.java
+++ b/spi/src/main/java/org/passhaven/spi/Timers.java
@@ -30,7 +30,7 @@
    * Returns the clock jumps so far, including any detected by the latest call of {@link
    * #nowMillis}.
    */
-  default ClockJumps clockGaps() {
+  default ClockJumps clockJumps() {
     return ClockJumps.NONE;
   }
 
