--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -181,7 +181,7 @@
             .call(member.address(), new PeerRequest.FetchRevision(), REVISION_LIMIT_MILLIS);
     return context
         .timers()
-        .limit(call, REVISION_LIMIT_MILLIS, "revision")
+        .withTimeout(call, REVISION_LIMIT_MILLIS, "revision")
         .map(answer -> answer instanceof PeerResponse.Revision revision ? revision.revision() : 0L)
         .onFailure()
         .recoverWithItem(0L)
@@ -217,7 +217,11 @@
     }
     long deadline = context.timers().nowMillis() + limitMillis;
     Uni<Void> released =
-        context.timers().limit(runs.stop(), limitMillis, "release").onFailure().recoverWithNull();
+        context
+            .timers()
+            .withTimeout(runs.stop(), limitMillis, "release")
+            .onFailure()
+            .recoverWithNull();
     return released.chain(
         ignored ->
             Uni.createFrom().emitter(emitter -> awaitIdle(deadline, () -> emitter.complete(null))));
--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -139,7 +139,7 @@
     known.askedAtMillis = context.timers().nowMillis();
     context
         .timers()
-        .limit(
+        .withTimeout(
             context.platform().engines().report(machine.address()), REPORT_LIMIT_MILLIS, "report")
         .subscribe()
         .with(known::onReport, failure -> known.onReportFailed());
--- a/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
+++ b/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
@@ -77,7 +77,7 @@
     long sentAtMillis = context.timers().nowMillis();
     context
         .timers()
-        .limit(context.platform().machines().fetch(version), LIMIT_MILLIS, "machine list")
+        .withTimeout(context.platform().machines().fetch(version), LIMIT_MILLIS, "machine list")
         .subscribe()
         .with(listing -> onListing(listing, sentAtMillis), this::onFailure);
   }
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -200,7 +200,7 @@
         context.platform().peers().call(peer.address(), request, PEER_LIMIT_MILLIS);
     context
         .timers()
-        .limit(call, PEER_LIMIT_MILLIS, "peer")
+        .withTimeout(call, PEER_LIMIT_MILLIS, "peer")
         .subscribe()
         .with(
             this::onPeerAnswer,
--- a/node/src/main/java/org/passhaven/node/follow/TableFollower.java
+++ b/node/src/main/java/org/passhaven/node/follow/TableFollower.java
@@ -232,7 +232,7 @@
   private Uni<Boolean> readNow() {
     long from = position;
     return timers
-        .limit(tables.changes(table, from, 0), REFRESH_LIMIT_MILLIS, "table: refresh")
+        .withTimeout(tables.changes(table, from, 0), REFRESH_LIMIT_MILLIS, "table: refresh")
         .chain(changes -> onRefreshed(from, changes));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -119,7 +119,7 @@
                 });
     return context
         .timers()
-        .limit(claimed, CLAIM_TIMEOUT_MILLIS, "trial")
+        .withTimeout(claimed, CLAIM_TIMEOUT_MILLIS, "trial")
         .onFailure()
         .recoverWithNull()
         .onTermination()
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -119,7 +119,7 @@
     }
     return context
         .timers()
-        .limit(Uni.join().all(saves).andCollectFailures(), FINAL_SAVE_TIMEOUT_MILLIS, "texts")
+        .withTimeout(Uni.join().all(saves).andCollectFailures(), FINAL_SAVE_TIMEOUT_MILLIS, "texts")
         .replaceWithVoid()
         .onFailure()
         .recoverWithNull();
--- a/node/src/main/java/org/passhaven/node/gateway/JobService.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobService.java
@@ -280,7 +280,7 @@
   private Uni<Boolean> withTimeout(Uni<Boolean> refresh) {
     return context
         .timers()
-        .limit(refresh, REFRESH_TIMEOUT_MILLIS, "refresh")
+        .withTimeout(refresh, REFRESH_TIMEOUT_MILLIS, "refresh")
         .onFailure()
         .recoverWithItem(false);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -114,7 +114,7 @@
     }
     return context
         .timers()
-        .limit(operator.refresh(), CONFIRM_TIMEOUT_MILLIS, "configuration")
+        .withTimeout(operator.refresh(), CONFIRM_TIMEOUT_MILLIS, "configuration")
         .onFailure()
         .recoverWithItem(false);
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
@@ -76,7 +76,7 @@
     long remainingMillis = Math.max(1, deadlineMillis - context.nowMillis());
     return context
         .timers()
-        .limit(
+        .withTimeout(
             readFromFirst(stream, results.subList(available.size(), results.size())),
             remainingMillis,
             "texts")
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -116,7 +116,7 @@
     LogTail currentTail = tail;
     context
         .timers()
-        .limit(currentTail.refresh(), CALL_TIMEOUT_MILLIS, "usage")
+        .withTimeout(currentTail.refresh(), CALL_TIMEOUT_MILLIS, "usage")
         .onFailure()
         .recoverWithItem(false)
         .subscribe()
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -126,7 +126,7 @@
     long limit = context.settings().membership().suspectAfter().toMillis();
     return context
         .timers()
-        .limit(
+        .withTimeout(
             context.platform().peers().call(target.address(), request, limit), limit, "heartbeat");
   }
 
--- a/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
+++ b/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
@@ -81,7 +81,7 @@
     long limit = Math.max(LEAST_FORWARD_MILLIS, call.left(context) / FORWARD_SHARE);
     return context
         .timers()
-        .limit(context.platform().peers().call(address, message, limit), limit, "keeper")
+        .withTimeout(context.platform().peers().call(address, message, limit), limit, "keeper")
         .onFailure()
         .recoverWithItem(
             failure -> {
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -228,7 +228,7 @@
         context.platform().services().call(server.get().address(), call.caller.request(), limit);
     context
         .timers()
-        .limit(sent, limit, "request")
+        .withTimeout(sent, limit, "request")
         .subscribe()
         .with(
             response -> {
--- a/node/src/main/java/org/passhaven/node/run/OwnerClient.java
+++ b/node/src/main/java/org/passhaven/node/run/OwnerClient.java
@@ -58,7 +58,7 @@
     long limit = Math.min(left + call.holdMillis, call.holdMillis + CALL_LIMIT_MILLIS);
     context
         .timers()
-        .limit(dispatch(address, call.request, limit), limit, "owner")
+        .withTimeout(dispatch(address, call.request, limit), limit, "owner")
         .subscribe()
         .with(
             response -> onAnswer(call, tries, address, response),
--- a/node/src/main/java/org/passhaven/node/stream/StreamClient.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamClient.java
@@ -316,7 +316,7 @@
   }
 
   private <T> Uni<T> limit(Uni<T> uni, long limitMillis) {
-    return context.timers().limit(uni, limitMillis, "log");
+    return context.timers().withTimeout(uni, limitMillis, "log");
   }
 
   private static final class Pending {
--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -76,7 +76,7 @@
   }
 
   private Uni<Long> lost() {
-    return timers.limit(Uni.createFrom().nothing(), 1_000, "append");
+    return timers.withTimeout(Uni.createFrom().nothing(), 1_000, "append");
   }
 
   @Override
--- a/node/src/test/java/org/passhaven/node/TimersTest.java
+++ b/node/src/test/java/org/passhaven/node/TimersTest.java
@@ -28,7 +28,7 @@
 
   @Test
   void aCallPastItsLimitIsGivenUpAndCancelled() {
-    subscribe(timers.limit(noAnswer(), 100, "call"));
+    subscribe(timers.withTimeout(noAnswer(), 100, "call"));
     timers.advance(99);
     assertThat(ends, empty());
     timers.advance(1);
@@ -38,7 +38,7 @@
 
   @Test
   void aCallThatNobodyWaitsForIsCancelledAtOnce() {
-    subscribe(timers.limit(noAnswer(), 100, "call")).cancel();
+    subscribe(timers.withTimeout(noAnswer(), 100, "call")).cancel();
     assertThat(cancelled, is(true));
     timers.advance(200);
     assertThat(ends, empty());
--- a/node/src/test/java/org/passhaven/node/follow/SharedStore.java
+++ b/node/src/test/java/org/passhaven/node/follow/SharedStore.java
@@ -84,7 +84,7 @@
     private Uni<Batch> read(Wanted wanted, long waitMillis) {
       long until = timers.nowMillis() + waitMillis;
       Uni<Batch> answer = Uni.createFrom().emitter(emitter -> answer(wanted, until, emitter));
-      return timers.limit(answer, waitMillis + CALL_LIMIT_MILLIS, "read");
+      return timers.withTimeout(answer, waitMillis + CALL_LIMIT_MILLIS, "read");
     }
 
     private void answer(Wanted wanted, long until, UniEmitter<? super Batch> emitter) {
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDuties.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedDuties.java
@@ -104,7 +104,7 @@
               .emitter(
                   emitter ->
                       time.after(ONE_WAY_MICROS, () -> take(usage, process, generation, emitter)));
-      return process.timers().limit(sent, limitMillis, "usage");
+      return process.timers().withTimeout(sent, limitMillis, "usage");
     };
   }
 
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedServers.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedServers.java
@@ -332,7 +332,7 @@
                               deliver(() -> emitter.complete(server.down || !isSame));
                             }
                           }));
-      return process.timers().limit(asked, limitMillis, "presence");
+      return process.timers().withTimeout(asked, limitMillis, "presence");
     }
 
     @Override
@@ -360,14 +360,14 @@
                                     Map.of(MODEL, server.version));
                             deliver(() -> emitter.complete(report));
                           }));
-      return process.timers().limit(asked, limitMillis, "report");
+      return process.timers().withTimeout(asked, limitMillis, "report");
     }
 
     @Override
     public Uni<OrderOutcome> order(Target target, Order order, long limitMillis) {
       Uni<OrderOutcome> sent =
           Uni.createFrom().emitter(emitter -> later(0, () -> take(target, order, emitter)));
-      return process.timers().limit(sent, limitMillis, "order");
+      return process.timers().withTimeout(sent, limitMillis, "order");
     }
 
     private void take(Target target, Order order, UniEmitter<? super OrderOutcome> emitter) {
--- a/simulator/src/main/java/org/passhaven/simulator/world/SimulatedCallerApi.java
+++ b/simulator/src/main/java/org/passhaven/simulator/world/SimulatedCallerApi.java
@@ -54,7 +54,7 @@
                                           () -> emitter.complete(toWord(outcome)))));
                 });
     return self.timers()
-        .limit(sent, LIMIT_MILLIS, "caller")
+        .withTimeout(sent, LIMIT_MILLIS, "caller")
         .onFailure()
         .recoverWithItem(new Word(Told.OUTCOME_UNKNOWN, new byte[0]));
   }
--- a/simulator/src/main/java/org/passhaven/simulator/world/SimulatedTrainerApi.java
+++ b/simulator/src/main/java/org/passhaven/simulator/world/SimulatedTrainerApi.java
@@ -93,7 +93,7 @@
                                           () -> emitter.fail(failure))));
                 });
     return self.timers()
-        .limit(sent, LIMIT_MILLIS, "trainer")
+        .withTimeout(sent, LIMIT_MILLIS, "trainer")
         .onFailure()
         .invoke(failure -> current++);
   }
--- a/spi/src/main/java/org/passhaven/spi/Timers.java
+++ b/spi/src/main/java/org/passhaven/spi/Timers.java
@@ -56,7 +56,7 @@
    * Returns {@code uni} with a timeout. On timeout the result fails with an unknown outcome and
    * {@code uni} is cancelled; it is also cancelled when the subscriber cancels.
    */
-  default <T> Uni<T> limit(Uni<T> uni, long limitMillis, String description) {
+  default <T> Uni<T> withTimeout(Uni<T> uni, long limitMillis, String description) {
     return limitSilence(onActivity -> uni, limitMillis, description);
   }
 
