--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -115,7 +115,7 @@
     long startedAtMillis = context.nowMillis();
     context
         .timers()
-        .limitSilence(
+        .withIdleTimeout(
             onProgress -> readAll(owned, 0, onProgress), READ_SILENCE_TIMEOUT_MILLIS, "texts")
         .subscribe()
         .with(
--- a/node/src/test/java/org/passhaven/node/TimersTest.java
+++ b/node/src/test/java/org/passhaven/node/TimersTest.java
@@ -47,7 +47,7 @@
   @Test
   void aCallThatShowsSignsOfLifeIsNotGivenUp() {
     subscribe(
-        timers.limitSilence(
+        timers.withIdleTimeout(
             alive -> {
               signOfLife = alive;
               return noAnswer();
--- a/node/src/test/java/org/passhaven/node/follow/NewsInTimeTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/NewsInTimeTest.java
@@ -104,7 +104,7 @@
                           });
                     }
                   });
-      return timers.limitSilence(
+      return timers.withIdleTimeout(
           signOfLife -> read, waitMillis + CALL_LIMIT_MILLIS, "store: changes");
     }
   }
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedStore.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/SimulatedStore.java
@@ -210,7 +210,7 @@
         String stream, long silenceMillis, BiConsumer<UniEmitter<? super T>, Runnable> serve) {
       return process
           .timers()
-          .limitSilence(signOfLife -> begin(stream, signOfLife, serve), silenceMillis, "store");
+          .withIdleTimeout(signOfLife -> begin(stream, signOfLife, serve), silenceMillis, "store");
     }
 
     private <T> Uni<T> begin(
--- a/spi/src/main/java/org/passhaven/spi/Timers.java
+++ b/spi/src/main/java/org/passhaven/spi/Timers.java
@@ -57,7 +57,7 @@
    * {@code uni} is cancelled; it is also cancelled when the subscriber cancels.
    */
   default <T> Uni<T> withTimeout(Uni<T> uni, long limitMillis, String description) {
-    return limitSilence(onActivity -> uni, limitMillis, description);
+    return withIdleTimeout(onActivity -> uni, limitMillis, description);
   }
 
   /**
@@ -67,7 +67,7 @@
    *
    * @param call starts the call; its argument must be run at each sign of activity
    */
-  default <T> Uni<T> limitSilence(
+  default <T> Uni<T> withIdleTimeout(
       Function<Runnable, Uni<T>> call, long idleTimeoutMillis, String description) {
     return Uni.createFrom()
         .emitter(
