--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -21,7 +21,7 @@
     boolean ready,
     Map<String, Long> versions) {
   public ServerEntry {
-    Objects.requireNonNull(incarnation, "start");
+    Objects.requireNonNull(incarnation, "incarnation");
     Objects.requireNonNull(service, "service");
     Objects.requireNonNull(address, "address");
     Objects.requireNonNull(zone, "zone");
--- a/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerHealth.java
@@ -23,31 +23,31 @@
     long latencyUpdatedAtMillis = Long.MIN_VALUE;
   }
 
-  private ServerStats statsOf(ServerIncarnation start) {
-    return statsByServer.computeIfAbsent(start, key -> new ServerStats());
+  private ServerStats statsOf(ServerIncarnation incarnation) {
+    return statsByServer.computeIfAbsent(incarnation, key -> new ServerStats());
   }
 
   /** Removes servers that are no longer listed, except those with requests in progress. */
-  public void retain(Set<ServerIncarnation> starts) {
+  public void retain(Set<ServerIncarnation> incarnations) {
     statsByServer
         .entrySet()
-        .removeIf(e -> !starts.contains(e.getKey()) && e.getValue().inProgress == 0);
+        .removeIf(e -> !incarnations.contains(e.getKey()) && e.getValue().inProgress == 0);
   }
 
   /** Records that a request was sent to a server. */
-  public void onSent(ServerIncarnation start) {
-    statsOf(start).inProgress++;
+  public void onSent(ServerIncarnation incarnation) {
+    statsOf(incarnation).inProgress++;
   }
 
   /** Records that a request at a server ended, whatever its outcome. */
-  public void onEnded(ServerIncarnation start) {
-    ServerStats server = statsOf(start);
+  public void onEnded(ServerIncarnation incarnation) {
+    ServerStats server = statsOf(incarnation);
     server.inProgress = Math.max(0, server.inProgress - 1);
   }
 
   /** Records a successful response after {@code tookMillis} and ends the backoff of the server. */
-  public void onSuccess(ServerIncarnation start, long tookMillis, long nowMillis) {
-    ServerStats server = statsOf(start);
+  public void onSuccess(ServerIncarnation incarnation, long tookMillis, long nowMillis) {
+    ServerStats server = statsOf(incarnation);
     server.consecutiveFailures = 0;
     server.avoidedUntilMillis = Long.MIN_VALUE;
     boolean stale = nowMillis - server.latencyUpdatedAtMillis > LATENCY_EXPIRY_MILLIS;
@@ -59,22 +59,23 @@
   }
 
   /** Records a failed request and avoids the server with exponential backoff. */
-  public void onFailure(ServerIncarnation start, long nowMillis) {
-    ServerStats server = statsOf(start);
+  public void onFailure(ServerIncarnation incarnation, long nowMillis) {
+    ServerStats server = statsOf(incarnation);
     int doublings = Math.min(server.consecutiveFailures, 4);
     server.consecutiveFailures++;
-    avoid(start, Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << doublings), nowMillis);
+    avoid(
+        incarnation, Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << doublings), nowMillis);
   }
 
   /** Avoids a server for a time; it is still used if there is no other. */
-  public void avoid(ServerIncarnation start, long forMillis, long nowMillis) {
-    ServerStats server = statsOf(start);
+  public void avoid(ServerIncarnation incarnation, long forMillis, long nowMillis) {
+    ServerStats server = statsOf(incarnation);
     server.avoidedUntilMillis = Math.max(server.avoidedUntilMillis, nowMillis + forMillis);
   }
 
   /** Returns whether a server should be avoided now. */
-  public boolean isAvoided(ServerIncarnation start, long nowMillis) {
-    ServerStats server = statsByServer.get(start);
+  public boolean isAvoided(ServerIncarnation incarnation, long nowMillis) {
+    ServerStats server = statsByServer.get(incarnation);
     return server != null && nowMillis < server.avoidedUntilMillis;
   }
 
@@ -84,14 +85,14 @@
   }
 
   /** Returns the number of requests of this node in progress at a server. */
-  public int inProgress(ServerIncarnation start) {
-    ServerStats server = statsByServer.get(start);
+  public int inProgress(ServerIncarnation incarnation) {
+    ServerStats server = statsByServer.get(incarnation);
     return server == null ? 0 : server.inProgress;
   }
 
   /** Returns the smoothed response latency, or zero if it is unknown or stale. */
-  public double latencyMillis(ServerIncarnation start, long nowMillis) {
-    ServerStats server = statsByServer.get(start);
+  public double latencyMillis(ServerIncarnation incarnation, long nowMillis) {
+    ServerStats server = statsByServer.get(incarnation);
     boolean known =
         server != null && nowMillis - server.latencyUpdatedAtMillis <= LATENCY_EXPIRY_MILLIS;
     return known && server.latencyUpdatedAtMillis != Long.MIN_VALUE ? server.latencyMillis : 0;
--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -92,11 +92,11 @@
 
   /** Returns this subset with each entry replaced by its newest version. */
   public ServerSubset withEntries(Collection<ServerEntry> newest) {
-    Map<ServerIncarnation, ServerEntry> byStart =
+    Map<ServerIncarnation, ServerEntry> byIncarnation =
         newest.stream().collect(Collectors.toMap(ServerEntry::incarnation, Function.identity()));
     return new ServerSubset(
         byPreference.stream()
-            .map(server -> byStart.getOrDefault(server.incarnation(), server))
+            .map(server -> byIncarnation.getOrDefault(server.incarnation(), server))
             .toList(),
         size);
   }
@@ -124,8 +124,9 @@
     if (earlier.byPreference.isEmpty()) {
       return this;
     }
-    List<ServerIncarnation> starts = byPreference.stream().map(ServerEntry::incarnation).toList();
-    int index = starts.indexOf(earlier.byPreference.get(0).incarnation());
+    List<ServerIncarnation> incarnations =
+        byPreference.stream().map(ServerEntry::incarnation).toList();
+    int index = incarnations.indexOf(earlier.byPreference.get(0).incarnation());
     if (index < 0 || index >= size) {
       return this;
     }
@@ -185,8 +186,8 @@
   }
 
   /** Returns whether a server is in the subset. */
-  public boolean contains(ServerIncarnation start) {
+  public boolean contains(ServerIncarnation incarnation) {
     return byPreference.subList(0, size).stream()
-        .anyMatch(server -> server.incarnation().equals(start));
+        .anyMatch(server -> server.incarnation().equals(incarnation));
   }
 }
--- a/core/src/main/java/org/passhaven/core/backend/ServerTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerTable.java
@@ -19,23 +19,23 @@
    * of a server that reports one comes from another writer and removes the server.
    */
   public void put(ServerEntry entry) {
-    ServerIncarnation start = entry.incarnation();
-    ServerEntry known = servers.get(start.id());
-    if (known == null || known.incarnation().isSupersededBy(start)) {
-      servers.put(start.id(), entry);
-    } else if (known.incarnation().equals(start)) {
-      servers.put(start.id(), entry.withMinVersions(known.versions()));
-    } else if (!start.hasStartTime()) {
-      servers.remove(start.id());
+    ServerIncarnation incarnation = entry.incarnation();
+    ServerEntry known = servers.get(incarnation.id());
+    if (known == null || known.incarnation().isSupersededBy(incarnation)) {
+      servers.put(incarnation.id(), entry);
+    } else if (known.incarnation().equals(incarnation)) {
+      servers.put(incarnation.id(), entry.withMinVersions(known.versions()));
+    } else if (!incarnation.hasStartTime()) {
+      servers.remove(incarnation.id());
     }
   }
 
   /** Records a model version that a server reported before its entry was updated. */
-  public void onVersionReached(ServerIncarnation start, String model, long version) {
+  public void onVersionReached(ServerIncarnation incarnation, String model, long version) {
     servers.computeIfPresent(
-        start.id(),
+        incarnation.id(),
         (id, entry) ->
-            entry.incarnation().equals(start)
+            entry.incarnation().equals(incarnation)
                 ? entry.withMinVersions(Map.of(model, version))
                 : entry);
   }
@@ -58,20 +58,20 @@
   /**
    * Returns the entry of an incarnation, or null if there is none or another incarnation is listed.
    */
-  public ServerEntry get(ServerIncarnation start) {
-    ServerEntry entry = servers.get(start.id());
-    return entry != null && entry.incarnation().equals(start) ? entry : null;
+  public ServerEntry get(ServerIncarnation incarnation) {
+    ServerEntry entry = servers.get(incarnation.id());
+    return entry != null && entry.incarnation().equals(incarnation) ? entry : null;
   }
 
   /** Returns whether a later incarnation of the same server is listed. */
-  public boolean isSuperseded(ServerIncarnation start) {
-    ServerEntry entry = servers.get(start.id());
-    return entry != null && start.isSupersededBy(entry.incarnation());
+  public boolean isSuperseded(ServerIncarnation incarnation) {
+    ServerEntry entry = servers.get(incarnation.id());
+    return entry != null && incarnation.isSupersededBy(entry.incarnation());
   }
 
   /** Returns whether this incarnation of a server accepts new requests. */
-  public boolean isReady(ServerIncarnation start) {
-    ServerEntry entry = get(start);
+  public boolean isReady(ServerIncarnation incarnation) {
+    ServerEntry entry = get(incarnation);
     return entry != null && entry.ready();
   }
 
--- a/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
@@ -36,9 +36,10 @@
       byNode.remove(node);
       return;
     }
-    Map<ServerIncarnation, ServerUse> byStart = new HashMap<>();
-    uses.forEach(use -> byStart.put(new ServerIncarnation(use.server(), use.bornMillis()), use));
-    byNode.put(node, new Report(incarnation, byStart, nowMillis));
+    Map<ServerIncarnation, ServerUse> byIncarnation = new HashMap<>();
+    uses.forEach(
+        use -> byIncarnation.put(new ServerIncarnation(use.server(), use.bornMillis()), use));
+    byNode.put(node, new Report(incarnation, byIncarnation, nowMillis));
   }
 
   /** Removes expired reports. */
@@ -52,10 +53,10 @@
   }
 
   /** Returns the estimated number of generations of other nodes at a server now. */
-  public double slotsInUse(ServerIncarnation start, long nowMillis) {
+  public double slotsInUse(ServerIncarnation incarnation, long nowMillis) {
     double slots = 0;
     for (Report report : byNode.values()) {
-      ServerUse use = report.uses().get(start);
+      ServerUse use = report.uses().get(incarnation);
       if (use != null) {
         slots += use.inProgress() * weightAtAge(nowMillis - report.receivedAtMillis());
       }
@@ -67,11 +68,11 @@
    * Returns the sustained pause between events at a server from its newest report, or zero if there
    * is none.
    */
-  public double pauseMillis(ServerIncarnation start, long nowMillis) {
+  public double pauseMillis(ServerIncarnation incarnation, long nowMillis) {
     long newest = Long.MIN_VALUE;
     double pause = 0;
     for (Report report : byNode.values()) {
-      ServerUse use = report.uses().get(start);
+      ServerUse use = report.uses().get(incarnation);
       boolean isKnown = use != null && use.pauseMillis() > 0;
       if (isKnown
           && report.receivedAtMillis() > newest
@@ -87,9 +88,9 @@
    * Returns the age of the oldest unexpired report on a server, or {@link Long#MAX_VALUE} if there
    * is none.
    */
-  public long ageMillis(ServerIncarnation start, long nowMillis) {
+  public long ageMillis(ServerIncarnation incarnation, long nowMillis) {
     return byNode.values().stream()
-        .filter(report -> report.uses().containsKey(start))
+        .filter(report -> report.uses().containsKey(incarnation))
         .mapToLong(report -> nowMillis - report.receivedAtMillis())
         .filter(age -> weightAtAge(age) > 0)
         .max()
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
@@ -99,27 +99,27 @@
   }
 
   private void readDocument(
-      String place,
+      String location,
       JsonNode node,
       Map<String, ConfigurationDocument> documents,
       List<String> errors) {
     if (!(node instanceof ObjectNode object)) {
-      errors.add(place + ": must be a mapping with keys kind and name");
+      errors.add(location + ": must be a mapping with keys kind and name");
       return;
     }
     String kind = text(object.remove("kind"));
     String name = text(object.remove("name"));
     if (!Kind.isKnown(kind)) {
-      errors.add(place + ": kind: must be one of " + Kind.names());
+      errors.add(location + ": kind: must be one of " + Kind.names());
       return;
     }
     if (!NAME.matcher(name).matches()) {
-      errors.add(place + ": name: must match " + NAME.pattern());
+      errors.add(location + ": name: must match " + NAME.pattern());
       return;
     }
     String key = kind + "/" + name;
     if (documents.putIfAbsent(key, new ConfigurationDocument(key, object.toString())) != null) {
-      errors.add(place + ": name: " + key + " is defined twice");
+      errors.add(location + ": name: " + key + " is defined twice");
     }
   }
 
--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -50,8 +50,8 @@
     }
     this.totalBytes = totalBytes;
     this.smallReserveBytes = (long) (totalBytes * SMALL_BODY_FRACTION);
-    for (BodyPurpose use : BodyPurpose.values()) {
-      allocations.put(use, new Allocation((long) (totalBytes * use.reservedShare())));
+    for (BodyPurpose purpose : BodyPurpose.values()) {
+      allocations.put(purpose, new Allocation((long) (totalBytes * purpose.reservedShare())));
     }
   }
 
@@ -72,8 +72,8 @@
   }
 
   /** Creates an empty reservation for a new body. */
-  public Reservation open(BodyPurpose use) {
-    return new Reservation(use);
+  public Reservation open(BodyPurpose purpose) {
+    return new Reservation(purpose);
   }
 
   /** Returns the size of the budget. */
@@ -87,8 +87,8 @@
   }
 
   /** Returns the number of bytes in use for one purpose. */
-  public long heldBytes(BodyPurpose use) {
-    return allocations.get(use).heldBytes;
+  public long heldBytes(BodyPurpose purpose) {
+    return allocations.get(purpose).heldBytes;
   }
 
   /** Returns the maximum number of bytes ever in use at once. */
@@ -97,23 +97,23 @@
   }
 
   /** Returns the size of the largest body that fits into an otherwise empty budget. */
-  public long largestBodyBytes(BodyPurpose use) {
-    long maxBytes = totalBytes - smallReserveBytes - unusedReservesOfOthers(use, false);
+  public long largestBodyBytes(BodyPurpose purpose) {
+    long maxBytes = totalBytes - smallReserveBytes - unusedReservesOfOthers(purpose, false);
     return Math.max(SMALL_BODY_BYTES, Math.max(maxBytes / 2, maxBytes - COPY_BYTES));
   }
 
-  private boolean hasRoom(BodyPurpose use, long bodyBytes, long moreBytes) {
+  private boolean hasRoom(BodyPurpose purpose, long bodyBytes, long moreBytes) {
     long freeBytes = totalBytes - totalHeldBytes;
     if (bodyBytes > SMALL_BODY_BYTES) {
-      freeBytes -= smallReserveBytes + unusedReservesOfOthers(use, true);
+      freeBytes -= smallReserveBytes + unusedReservesOfOthers(purpose, true);
     }
     return moreBytes <= freeBytes;
   }
 
-  private long unusedReservesOfOthers(BodyPurpose use, boolean nowHeld) {
+  private long unusedReservesOfOthers(BodyPurpose purpose, boolean nowHeld) {
     long unused = 0;
     for (BodyPurpose other : BodyPurpose.values()) {
-      if (other != use) {
+      if (other != purpose) {
         Allocation allocation = allocations.get(other);
         unused += Math.max(0, allocation.reservedBytes - (nowHeld ? allocation.heldBytes : 0));
       }
@@ -121,8 +121,8 @@
     return unused;
   }
 
-  private void add(BodyPurpose use, long bytes) {
-    allocations.get(use).heldBytes += bytes;
+  private void add(BodyPurpose purpose, long bytes) {
+    allocations.get(purpose).heldBytes += bytes;
     totalHeldBytes += bytes;
     peakBytes = Math.max(peakBytes, totalHeldBytes);
   }
@@ -143,12 +143,12 @@
 
   /** Reservation of one body in the budget. */
   public final class Reservation {
-    private final BodyPurpose use;
+    private final BodyPurpose purpose;
     private long bodyBytes;
     private boolean released;
 
-    private Reservation(BodyPurpose use) {
-      this.use = Objects.requireNonNull(use, "use");
+    private Reservation(BodyPurpose purpose) {
+      this.purpose = Objects.requireNonNull(purpose, "purpose");
     }
 
     /**
@@ -160,7 +160,7 @@
         throw new IllegalArgumentException("bytes is " + bytes + " but must not be negative");
       }
       long grown = bodyBytes + bytes;
-      if (released || !hasRoom(use, grown, cost(grown) - cost(bodyBytes))) {
+      if (released || !hasRoom(purpose, grown, cost(grown) - cost(bodyBytes))) {
         return false;
       }
       resizeTo(grown);
@@ -178,7 +178,7 @@
     }
 
     private void resizeTo(long grown) {
-      add(use, cost(grown) - cost(bodyBytes));
+      add(purpose, cost(grown) - cost(bodyBytes));
       bodyBytes = grown;
     }
 
@@ -187,7 +187,7 @@
       if (!released) {
         released = true;
         if (bodyBytes > 0) {
-          add(use, -cost(bodyBytes));
+          add(purpose, -cost(bodyBytes));
           onReleased.run();
         }
       }
--- a/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerTableTest.java
@@ -16,8 +16,8 @@
   private static final ServerIncarnation SECOND = new ServerIncarnation("a", 200);
   private final ServerTable table = new ServerTable();
 
-  private static ServerEntry entry(ServerIncarnation start, boolean ready, long version) {
-    return new ServerEntry(start, "s", "h:1", "z", 4, ready, Map.of("m", version));
+  private static ServerEntry entry(ServerIncarnation incarnation, boolean ready, long version) {
+    return new ServerEntry(incarnation, "s", "h:1", "z", 4, ready, Map.of("m", version));
   }
 
   @Test
@@ -69,11 +69,11 @@
 
   @Test
   void entriesWithoutStartTimesAreUpdatedNormally() {
-    ServerIncarnation start = ServerIncarnation.of("b");
-    table.put(entry(start, true, 2));
-    table.put(entry(start, false, 1));
-    assertThat(table.get(start).versionOf("m"), equalTo(2L));
-    assertThat(table.isReady(start), is(false));
-    assertThat(table.isSuperseded(start), is(false));
+    ServerIncarnation incarnation = ServerIncarnation.of("b");
+    table.put(entry(incarnation, true, 2));
+    table.put(entry(incarnation, false, 1));
+    assertThat(table.get(incarnation).versionOf("m"), equalTo(2L));
+    assertThat(table.isReady(incarnation), is(false));
+    assertThat(table.isSuperseded(incarnation), is(false));
   }
 }
--- a/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/passhaven/core/configuration/ConfigurationTest.java
@@ -35,9 +35,9 @@
   void validFilesGiveTheirDocuments() throws ConfigurationException {
     List<ConfigurationDocument> documents =
         parser.parse(List.of(new SourceFile("a.yaml", MODEL + "---\n" + TRAINER)));
-    ConfigurationSnapshot image = parser.snapshot(3, documents);
-    assertThat(image.trainers().get("t").stalenessBound(), equalTo(2));
-    assertThat(image.engineGroupOf("t").orElseThrow(), equalTo("g"));
+    ConfigurationSnapshot snapshot = parser.snapshot(3, documents);
+    assertThat(snapshot.trainers().get("t").stalenessBound(), equalTo(2));
+    assertThat(snapshot.engineGroupOf("t").orElseThrow(), equalTo("g"));
   }
 
   @Test
--- a/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
+++ b/core/src/test/java/org/passhaven/core/memory/ByteBudgetTest.java
@@ -19,19 +19,19 @@
 class ByteBudgetTest {
   private static final long MB = 1L << 20;
   private static final int ORDINARY_BYTES = 800;
-  private static final List<BodyPurpose> USES = List.of(BodyPurpose.values());
+  private static final List<BodyPurpose> PURPOSES = List.of(BodyPurpose.values());
   private final ByteBudget budget = ByteBudget.of(290 * MB, 128 * MB);
 
-  private Reservation held(BodyPurpose use, long bytes) {
-    Reservation reservation = budget.open(use);
+  private Reservation held(BodyPurpose purpose, long bytes) {
+    Reservation reservation = budget.open(purpose);
     assertThat(reservation.tryGrow(bytes), is(true));
     return reservation;
   }
 
-  private List<Reservation> fill(BodyPurpose use, long bytes) {
+  private List<Reservation> fill(BodyPurpose purpose, long bytes) {
     List<Reservation> taken = new ArrayList<>();
     while (true) {
-      Reservation next = budget.open(use);
+      Reservation next = budget.open(purpose);
       if (!next.tryGrow(bytes)) {
         return taken;
       }
@@ -49,9 +49,9 @@
 
   @Test
   void theLargestBodyOfTheUsualLimitFitsIntoAnIdleNode() {
-    for (BodyPurpose use : List.of(BodyPurpose.REQUEST, BodyPurpose.ANSWER)) {
-      assertThat(budget.largestBodyBytes(use), greaterThanOrEqualTo(32 * MB));
-      held(use, budget.largestBodyBytes(use)).release();
+    for (BodyPurpose purpose : List.of(BodyPurpose.REQUEST, BodyPurpose.ANSWER)) {
+      assertThat(budget.largestBodyBytes(purpose), greaterThanOrEqualTo(32 * MB));
+      held(purpose, budget.largestBodyBytes(purpose)).release();
     }
     Reservation tooLarge = budget.open(BodyPurpose.REQUEST);
     assertThat(tooLarge.tryGrow(budget.largestBodyBytes(BodyPurpose.REQUEST) + 1), is(false));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aThousandUnreadResponsesLeaveRoomForOtherRequestsAndUses() {
+  void aThousandUnreadResponsesLeaveRoomForOtherRequestsAndPurposes() {
     List<Reservation> unread = fill(BodyPurpose.ANSWER, 200_000);
     assertThat(unread.size(), lessThan(1_000));
     assertThat(unread.size(), greaterThan(100));
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void eachUseKeepsItsShareWhenAnotherTakesAllItCan() {
+  void eachPurposeKeepsItsShareWhenAnotherTakesAllItCan() {
     for (BodyPurpose greedy : BodyPurpose.values()) {
       List<Reservation> taken = fill(greedy, 100_000);
       for (BodyPurpose other : BodyPurpose.values()) {
@@ -126,7 +126,7 @@
     List<Reservation> open = new ArrayList<>();
     for (int i = 0; i < 20_000; i++) {
       if (open.isEmpty() || random.nextInt(3) > 0) {
-        Reservation next = budget.open(USES.get(random.nextInt(USES.size())));
+        Reservation next = budget.open(PURPOSES.get(random.nextInt(PURPOSES.size())));
         next.tryGrow(random.nextInt(8) == 0 ? random.nextInt(4 << 20) : random.nextInt(2_000));
         open.add(next);
       } else {
@@ -139,8 +139,8 @@
         }
       }
       assertThat(budget.heldBytes(), lessThanOrEqualTo(budget.totalBytes()));
-      for (BodyPurpose use : BodyPurpose.values()) {
-        assertThat(budget.heldBytes(use), greaterThanOrEqualTo(0L));
+      for (BodyPurpose purpose : BodyPurpose.values()) {
+        assertThat(budget.heldBytes(purpose), greaterThanOrEqualTo(0L));
       }
     }
     open.forEach(Reservation::release);
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
@@ -41,10 +41,10 @@
   }
 
   /**
-   * A chunk of an encoded {@link JobSubmission}; the job is accepted with its last chunk.
+   * A part of an encoded {@link JobSubmission}; the job is accepted with its last part.
    *
-   * @param attempt identity of the append that the chunk belongs to; chunks of different attempts
-   *     are never combined
+   * @param attempt identity of the append that the part belongs to; parts of different attempts are
+   *     never combined
    */
   record JobPart(String job, long attempt, int part, int parts, byte[] content) implements OfJob {
     public JobPart {
