--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -107,7 +107,7 @@
   /** Applies a note that this node writes or reads. Applying a note twice has no effect. */
   public void onNote(CrashNote note, long nowMillis) {
     Suspect suspect = suspects.computeIfAbsent(note.fingerprint(), key -> new Suspect());
-    if (note instanceof CrashNote.Ended ended) {
+    if (note instanceof CrashNote.Crashed ended) {
       if (suspect.servers.add(ended.server())) {
         suspect.changedMillis = nowMillis;
       }
@@ -181,7 +181,7 @@
     Suspect suspect = suspects.get(fingerprint);
     List<String> keys = new ArrayList<>();
     if (suspect != null) {
-      suspect.servers.forEach(server -> keys.add(new CrashNote.Ended(fingerprint, server).key()));
+      suspect.servers.forEach(server -> keys.add(new CrashNote.Crashed(fingerprint, server).key()));
       for (int number = 1; number <= suspect.trials; number++) {
         keys.add(new CrashNote.Trial(fingerprint, number, "", 0).key());
       }
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -21,7 +21,7 @@
   private final CrashTable table = new CrashTable();
 
   private void recordCrash(String fingerprint, String server, long now) {
-    table.onNote(new CrashNote.Ended(fingerprint, server), now);
+    table.onNote(new CrashNote.Crashed(fingerprint, server), now);
   }
 
   private void recordTrial(String fingerprint, int number, String node, long now) {
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -156,7 +156,7 @@
   }
 
   private void recordCrash(String fingerprint, ServerIncarnation server) {
-    CrashNote.Ended note = new CrashNote.Ended(fingerprint, server.toString());
+    CrashNote.Crashed note = new CrashNote.Crashed(fingerprint, server.toString());
     int crashesBefore = table.crashes(fingerprint);
     applyNote(note);
     if (table.crashes(fingerprint) == crashesBefore) {
--- a/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
+++ b/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
@@ -9,7 +9,7 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
-  @JsonSubTypes.Type(value = CrashNote.Ended.class, name = "ce"),
+  @JsonSubTypes.Type(value = CrashNote.Crashed.class, name = "ce"),
   @JsonSubTypes.Type(value = CrashNote.Trial.class, name = "ct")
 })
 public sealed interface CrashNote {
@@ -29,7 +29,7 @@
   }
 
   /** A server terminated while it ran the request. */
-  record Ended(String fingerprint, String server) implements CrashNote {
+  record Crashed(String fingerprint, String server) implements CrashNote {
     @Override
     public String key() {
       return fingerprint + DIVIDER + "s" + DIVIDER + server;
