--- a/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
+++ b/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
@@ -14,17 +14,17 @@
 })
 public sealed interface CrashNote {
   /** Separator of the parts of a key; does not occur in fingerprints. */
-  char DIVIDER = '/';
+  char SEPARATOR = '/';
 
   /** Returns the fingerprint of the request. */
   String fingerprint();
 
-  /** Returns the key of the note; it begins with the fingerprint and {@link #DIVIDER}. */
+  /** Returns the key of the note; it begins with the fingerprint and {@link #SEPARATOR}. */
   String key();
 
   /** Returns the fingerprint at the start of a key. */
   static String fingerprintOf(String key) {
-    int end = key.indexOf(DIVIDER);
+    int end = key.indexOf(SEPARATOR);
     return end < 0 ? key : key.substring(0, end);
   }
 
@@ -32,7 +32,7 @@
   record Crashed(String fingerprint, String server) implements CrashNote {
     @Override
     public String key() {
-      return fingerprint + DIVIDER + "s" + DIVIDER + server;
+      return fingerprint + SEPARATOR + "s" + SEPARATOR + server;
     }
   }
 
@@ -45,7 +45,7 @@
   record Trial(String fingerprint, int number, String node, long incarnation) implements CrashNote {
     @Override
     public String key() {
-      return fingerprint + DIVIDER + "t" + DIVIDER + number;
+      return fingerprint + SEPARATOR + "t" + SEPARATOR + number;
     }
   }
 }
