--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -8,7 +8,7 @@
 import java.util.function.ToLongFunction;
 import java.util.function.UnaryOperator;
 import org.passhaven.core.member.BeatTable;
-import org.passhaven.protocol.job.JobRecord.RunTaken;
+import org.passhaven.protocol.job.JobRecord.RunClaimed;
 
 /**
  * Tracks which node owns each run, that is, runs its jobs. An owner keeps a run until it leaves or
@@ -24,7 +24,7 @@
   private final String node;
   private final long incarnation;
   private final UnaryOperator<String> streamOf;
-  private final Map<String, RunTaken> owners = new HashMap<>();
+  private final Map<String, RunClaimed> owners = new HashMap<>();
   private final Map<String, Long> ownerlessSinceMillis = new HashMap<>();
   private final Map<String, Long> claimedAtMillis = new HashMap<>();
   private final Map<String, Long> ownedSinceMillis = new HashMap<>();
@@ -47,7 +47,7 @@
    *
    * @param offset offset of the record in its stream
    */
-  public boolean apply(RunTaken record, long offset, long nowMillis) {
+  public boolean apply(RunClaimed record, long offset, long nowMillis) {
     String run = record.run();
     long ownerOffset = lastClaimOffset.getOrDefault(run, -1L);
     // A claim is valid only if its writer had read the owner's last claim.
@@ -67,8 +67,8 @@
     return true;
   }
 
-  private boolean isByCurrentOwner(RunTaken record) {
-    RunTaken owner = owners.get(record.run());
+  private boolean isByCurrentOwner(RunClaimed record) {
+    RunClaimed owner = owners.get(record.run());
     return owner != null
         && owner.epoch() == record.epoch()
         && owner.node().equals(record.node())
@@ -87,26 +87,27 @@
    * @param renewMillis age at which a claim is renewed
    * @param readTo returns the offset up to which a stream was read
    */
-  public List<RunTaken> renewals(long renewMillis, ToLongFunction<String> readTo, long nowMillis) {
+  public List<RunClaimed> renewals(
+      long renewMillis, ToLongFunction<String> readTo, long nowMillis) {
     return ownedRuns().stream()
         .filter(run -> nowMillis - lastClaimReadAtMillis.get(run) >= renewMillis)
         .map(run -> newClaim(run, epochOf(run), readTo.applyAsLong(streamOf.apply(run))))
         .toList();
   }
 
-  private RunTaken newClaim(String run, long epoch, long readTo) {
-    return new RunTaken(run, epoch, node, incarnation, readTo);
+  private RunClaimed newClaim(String run, long epoch, long readTo) {
+    return new RunClaimed(run, epoch, node, incarnation, readTo);
   }
 
   /** Returns the epoch of a run's owner; zero if the run has no owner. */
   public long epochOf(String run) {
-    RunTaken owner = owners.get(run);
+    RunClaimed owner = owners.get(run);
     return owner == null ? 0 : owner.epoch();
   }
 
   /** Returns whether this incarnation of this node owns a run. */
   public boolean isOwnedHere(String run) {
-    RunTaken owner = owners.get(run);
+    RunClaimed owner = owners.get(run);
     return owner != null && owner.node().equals(node) && owner.incarnation() == incarnation;
   }
 
@@ -122,7 +123,7 @@
 
   /** Returns whether a run's owner is known to have left or restarted. */
   public boolean isOwnerGone(String run, BeatTable beats) {
-    RunTaken owner = owners.get(run);
+    RunClaimed owner = owners.get(run);
     return owner != null && beats.isOver(owner.node(), owner.incarnation());
   }
 
@@ -131,8 +132,8 @@
    *
    * @param readTo offset up to which the run's stream was read
    */
-  public Optional<RunTaken> claim(String run, BeatTable beats, long readTo, long nowMillis) {
-    RunTaken owner = owners.get(run);
+  public Optional<RunClaimed> claim(String run, BeatTable beats, long readTo, long nowMillis) {
+    RunClaimed owner = owners.get(run);
     if (owner != null && isOwnerAlive(owner, beats, nowMillis)) {
       ownerlessSinceMillis.remove(run);
       return Optional.empty();
@@ -152,7 +153,7 @@
   }
 
   /** Returns whether an owner is alive; a recent claim counts as a sign of life. */
-  private boolean isOwnerAlive(RunTaken owner, BeatTable beats, long nowMillis) {
+  private boolean isOwnerAlive(RunClaimed owner, BeatTable beats, long nowMillis) {
     boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
     return beats.isTaking(owner.node(), owner.incarnation())
         || (isNewOwner && !beats.isOver(owner.node(), owner.incarnation()));
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.member.BeatTable;
-import org.passhaven.protocol.job.JobRecord.RunTaken;
+import org.passhaven.protocol.job.JobRecord.RunClaimed;
 import org.passhaven.protocol.member.MemberBeat;
 
 /** Guards against runs with two owners, and against runs that no node claims. */
@@ -38,12 +38,12 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    RunTaken claim = a.claim(run, beats, 0, 0).orElseThrow();
+    RunClaimed claim = a.claim(run, beats, 0, 0).orElseThrow();
     assertThat(a.isOwnedHere(run), is(false));
     assertThat(a.apply(claim, 0, 0), is(true));
     assertThat(a.isOwnedHere(run), is(true));
     assertThat(a.ownedRuns(), contains(run));
-    assertThat(a.apply(new RunTaken(run, 2, "b", 1, 1), 1, 0), is(true));
+    assertThat(a.apply(new RunClaimed(run, 2, "b", 1, 1), 1, 0), is(true));
     assertThat(a.ownedRuns(), empty());
   }
 
@@ -52,7 +52,7 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    a.apply(new RunTaken(run, 1, "b", 1, 0), 0, 0);
+    a.apply(new RunClaimed(run, 1, "b", 1, 0), 0, 0);
     assertThat(a.claim(run, beats, 0, 0), equalTo(Optional.empty()));
   }
 
@@ -61,7 +61,7 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    a.apply(new RunTaken(run, 1, "b", 1, 0), 0, 0);
+    a.apply(new RunClaimed(run, 1, "b", 1, 0), 0, 0);
     heartbeat("b", 2, true, 10);
     assertThat(a.claim(run, beats, 1, 10).orElseThrow().epoch(), equalTo(2L));
   }
@@ -81,28 +81,28 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    a.apply(new RunTaken(run, 1, "b", 2, 0), 0, 0);
+    a.apply(new RunClaimed(run, 1, "b", 2, 0), 0, 0);
     assertThat(a.claim(run, beats, 0, 900).isPresent(), is(false));
     assertThat(a.claim(run, beats, 0, 1_000).isPresent(), is(true));
   }
 
   @Test
   void ownerIsGoneOnceALaterIncarnationIsKnown() {
-    a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0);
+    a.apply(new RunClaimed("r", 1, "b", 1, 0), 0, 0);
     assertThat(a.isOwnerGone("r", beats), is(false));
     heartbeat("b", 1, true, 0);
     assertThat(a.isOwnerGone("r", beats), is(false));
     heartbeat("b", 2, true, 10);
     assertThat(a.isOwnerGone("r", beats), is(true));
     assertThat(a.isOwnerGone("nobody's", beats), is(false));
-    a.apply(new RunTaken("r", 2, "b", 3, 1), 1, 0);
+    a.apply(new RunClaimed("r", 2, "b", 3, 1), 1, 0);
     assertThat(a.isOwnerGone("r", beats), is(false));
   }
 
   @Test
   void firstOfTwoClaimsInTheLogWins() {
-    assertThat(a.apply(new RunTaken("r", 1, "b", 1, 0), 0, 0), is(true));
-    assertThat(a.apply(new RunTaken("r", 1, "a", 1, 0), 0, 0), is(false));
+    assertThat(a.apply(new RunClaimed("r", 1, "b", 1, 0), 0, 0), is(true));
+    assertThat(a.apply(new RunClaimed("r", 1, "a", 1, 0), 0, 0), is(false));
     assertThat(a.isOwnedHere("r"), is(false));
   }
 
@@ -118,8 +118,8 @@
     String run = runWithFirstCandidate("a");
     a.apply(a.claim(run, beats, 0, 0).orElseThrow(), 0, 0);
     assertThat(a.renewals(5_000, stream -> 40, 4_999), empty());
-    RunTaken renewal = a.renewals(5_000, stream -> 40, 5_000).get(0);
-    assertThat(renewal, equalTo(new RunTaken(run, 1, "a", 1, 40)));
+    RunClaimed renewal = a.renewals(5_000, stream -> 40, 5_000).get(0);
+    assertThat(renewal, equalTo(new RunClaimed(run, 1, "a", 1, 40)));
     assertThat(a.apply(renewal, 41, 5_010), is(false));
     assertThat(a.isOwnedHere(run), is(true));
     assertThat(a.renewals(5_000, stream -> 40, 6_000), empty());
@@ -128,7 +128,7 @@
   @Test
   void renewalNamesTheOwnerAfterTheClaimWasDropped() {
     a.onGap("run/r");
-    assertThat(a.apply(new RunTaken("r", 7, "b", 1, 300), 310, 0), is(true));
+    assertThat(a.apply(new RunClaimed("r", 7, "b", 1, 300), 310, 0), is(true));
     assertThat(a.epochOf("r"), equalTo(7L));
   }
 
@@ -136,15 +136,15 @@
   void claimAfterAGapHasAHigherEpochThanAnyUsedBefore() {
     heartbeat("a", 1, true, 0);
     a.onGap("run/r");
-    RunTaken claim = a.claim("r", beats, 500, 0).orElseThrow();
+    RunClaimed claim = a.claim("r", beats, 500, 0).orElseThrow();
     assertThat(claim.epoch(), equalTo(501L));
   }
 
   @Test
   void claimThatMissedTheOwnersRenewalIsIgnored() {
-    a.apply(new RunTaken("r", 1, "b", 1, 0), 10, 0);
-    a.apply(new RunTaken("r", 1, "b", 1, 0), 700, 0);
-    assertThat(a.apply(new RunTaken("r", 601, "c", 1, 600), 701, 0), is(false));
-    assertThat(a.apply(new RunTaken("r", 802, "c", 1, 801), 802, 0), is(true));
+    a.apply(new RunClaimed("r", 1, "b", 1, 0), 10, 0);
+    a.apply(new RunClaimed("r", 1, "b", 1, 0), 700, 0);
+    assertThat(a.apply(new RunClaimed("r", 601, "c", 1, 600), 701, 0), is(false));
+    assertThat(a.apply(new RunClaimed("r", 802, "c", 1, 801), 802, 0), is(true));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -202,7 +202,7 @@
   /** Appends this node's claims again before the log's retention drops them. */
   private void renewClaims() {
     long renewMillis = context.settings().lease().renewMillis();
-    for (JobRecord.RunTaken claim :
+    for (JobRecord.RunClaimed claim :
         owners.renewals(renewMillis, this::positionOf, context.nowMillis())) {
       append(streamOf(claim.run()), List.of(Codec.encode(claim)))
           .subscribe()
@@ -221,7 +221,7 @@
   }
 
   /** Returns the claim to append if this node is the next owner of a run. */
-  Optional<JobRecord.RunTaken> claim(String run) {
+  Optional<JobRecord.RunClaimed> claim(String run) {
     return owners.claim(run, heartbeats, positionOf(streamOf(run)), context.nowMillis());
   }
 
@@ -334,14 +334,14 @@
       LOG.atError().addKeyValue("reason", e.getMessage()).log("job: a record can't be read");
       return;
     }
-    if (record instanceof JobRecord.RunTaken taken) {
+    if (record instanceof JobRecord.RunClaimed taken) {
       onRunClaimed(taken, tails.get(partition).position() - 1);
     } else if (record instanceof JobRecord.OfJob ofJob) {
       onJobRecord(ofJob);
     }
   }
 
-  private void onRunClaimed(JobRecord.RunTaken taken, long offset) {
+  private void onRunClaimed(JobRecord.RunClaimed taken, long offset) {
     // A claim read during the initial catch-up does not prove that the owner is alive now.
     boolean isLive = tails.get(partitionOf(taken.run())).isCaughtUp();
     if (owners.apply(taken, offset, isLive ? context.nowMillis() : NEVER_MILLIS)) {
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -46,7 +46,7 @@
     if (stopped || !members.isLogReachable() || !isOwnershipKnown) {
       return;
     }
-    Optional<JobRecord.RunTaken> claim = log.claim(run);
+    Optional<JobRecord.RunClaimed> claim = log.claim(run);
     if (claim.isPresent()) {
       LOG.atInfo()
           .addKeyValue("run", run)
@@ -57,7 +57,7 @@
     }
   }
 
-  private void append(JobRecord.RunTaken claim) {
+  private void append(JobRecord.RunClaimed claim) {
     JobRecord record = claim;
     log.append(log.streamOf(claim.run()), List.of(Codec.encode(record)))
         .subscribe()
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -64,14 +64,14 @@
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     for (long epoch = 1; epoch <= 10; epoch++) {
-      JobRecord claim = new JobRecord.RunTaken(run, epoch, "other", 1, epoch - 1);
+      JobRecord claim = new JobRecord.RunClaimed(run, epoch, "other", 1, epoch - 1);
       records.stream(stream).add(Codec.encode(claim));
     }
     records.truncate(stream, 10);
     log.start(beats);
     timers.advance(100);
     assertThat(log.owners().epochOf(run), is(0L));
-    JobRecord.RunTaken next = log.claim(run).orElseThrow();
+    JobRecord.RunClaimed next = log.claim(run).orElseThrow();
     assertThat(next.epoch(), is(11L));
     assertThat(next.readTo(), is(10L));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -87,7 +87,7 @@
     timers.advance(400);
     assertThat(servers.cancelled, equalTo(0));
     assertThat(gateway.isDrained(), is(false));
-    JobRecord taken = new JobRecord.RunTaken(MODEL, 1_001, "other", 1, 1_000);
+    JobRecord taken = new JobRecord.RunClaimed(MODEL, 1_001, "other", 1, 1_000);
     log.stream("jobs.0").add(Codec.encode(taken));
     timers.advance(200);
     assertThat(servers.cancelled, equalTo(1));
@@ -162,15 +162,15 @@
 
   private void appendClaimOfDeadNode(String run) {
     long readTo = log.stream("jobs.0").size();
-    JobRecord taken = new JobRecord.RunTaken(run, readTo + 1, "gone", 1, readTo);
+    JobRecord taken = new JobRecord.RunClaimed(run, readTo + 1, "gone", 1, readTo);
     log.stream("jobs.0").add(Codec.encode(taken));
   }
 
   private long ownClaimCount(String run) {
     return log.stream("jobs.0").stream()
         .map(bytes -> Codec.decode(bytes, JobRecord.class))
-        .filter(record -> record instanceof JobRecord.RunTaken taken && taken.run().equals(run))
-        .filter(record -> ((JobRecord.RunTaken) record).node().equals("n"))
+        .filter(record -> record instanceof JobRecord.RunClaimed taken && taken.run().equals(run))
+        .filter(record -> ((JobRecord.RunClaimed) record).node().equals("n"))
         .count();
   }
 
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
@@ -12,7 +12,7 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
-  @JsonSubTypes.Type(value = JobRecord.RunTaken.class, name = "rt"),
+  @JsonSubTypes.Type(value = JobRecord.RunClaimed.class, name = "rt"),
   @JsonSubTypes.Type(value = JobRecord.JobPart.class, name = "jp"),
   @JsonSubTypes.Type(value = JobRecord.ItemFinished.class, name = "il"),
   @JsonSubTypes.Type(value = JobRecord.JobEnded.class, name = "je")
@@ -32,9 +32,9 @@
    *
    * @param readTo offset up to which the writer had read the partition
    */
-  record RunTaken(String run, long epoch, String node, long incarnation, long readTo)
+  record RunClaimed(String run, long epoch, String node, long incarnation, long readTo)
       implements JobRecord {
-    public RunTaken {
+    public RunClaimed {
       Objects.requireNonNull(run, "run");
       Objects.requireNonNull(node, "node");
     }
--- a/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
+++ b/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
@@ -84,7 +84,7 @@
   }
 
   private static byte[] recordOf(int bytes) {
-    return Codec.encode(new JobRecord.RunTaken("run", 0, "n".repeat(bytes), 0, 0));
+    return Codec.encode(new JobRecord.RunClaimed("run", 0, "n".repeat(bytes), 0, 0));
   }
 
   private void start(int node) {
