--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -105,7 +105,7 @@
 
   /** Returns whether the report is of another incarnation of the server. */
   private static boolean isOfOtherIncarnation(Wanted wanted, Report report) {
-    return report.bornMillis() != wanted.server().incarnation().startMillis();
+    return report.startMillis() != wanted.server().incarnation().startMillis();
   }
 
   private void order(Wanted wanted, long sequence) {
--- a/spi/src/main/java/org/passhaven/spi/BackEndService.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndService.java
@@ -105,10 +105,10 @@
    *
    * @param busy whether an order is in progress
    * @param sequence number of orders accepted since the server started
-   * @param bornMillis start time in milliseconds since 1970; zero if not reported
+   * @param startMillis start time in milliseconds since 1970; zero if not reported
    */
   record Report(
-      boolean busy, long sequence, long bornMillis, java.util.Map<String, Long> versions) {
+      boolean busy, long sequence, long startMillis, java.util.Map<String, Long> versions) {
     public Report {
       versions = java.util.Map.copyOf(versions);
     }
