--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -86,7 +86,7 @@
   }
 
   /** Returns whether enough time is left for a new attempt. */
-  public boolean hasTimeLeft(long nowMillis) {
+  public boolean hasTimeForAttempt(long nowMillis) {
     return remainingMillis(nowMillis) >= MIN_ATTEMPT_MILLIS;
   }
 
@@ -104,7 +104,7 @@
     boolean maySend =
         possibleRuns + inProgress < Math.max(1, route.maxAttempts())
             && refusals < MAX_REFUSALS
-            && hasTimeLeft(nowMillis)
+            && hasTimeForAttempt(nowMillis)
             && (mayRepeat || (possibleRuns == 0 && inProgress == 0));
     if (!maySend) {
       return Optional.empty();
@@ -151,7 +151,7 @@
     }
     boolean attemptsLeft = possibleRuns + inProgress < Math.max(1, route.maxAttempts());
     boolean repeatable = mayRepeat || possibleRuns == 0;
-    if (attemptsLeft && repeatable && hasTimeLeft(nowMillis) && refusals < MAX_REFUSALS) {
+    if (attemptsLeft && repeatable && hasTimeForAttempt(nowMillis) && refusals < MAX_REFUSALS) {
       return Step.TRY_NEXT;
     }
     if (inProgress > 0) {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -155,7 +155,7 @@
     public void onAdmitted() {
       if (!tryNext()) {
         failWithoutServer(
-            plan.hasTimeLeft(context.nowMillis()) ? "no server" : "too little time is left");
+            plan.hasTimeForAttempt(context.nowMillis()) ? "no server" : "too little time is left");
       }
     }
 
