--- a/core/src/main/java/org/passhaven/core/routing/BackEndHealth.java
+++ b/core/src/main/java/org/passhaven/core/routing/BackEndHealth.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns the fraction of the normal load that the back end may get now, from 0 to 1. */
-  public double share(long nowMillis) {
+  public double loadShare(long nowMillis) {
     if (!isUsable(nowMillis)) {
       return 0;
     }
--- a/core/src/test/java/org/passhaven/core/routing/RoutingTest.java
+++ b/core/src/test/java/org/passhaven/core/routing/RoutingTest.java
@@ -76,9 +76,9 @@
     for (int i = 0; i < 3; i++) {
       health.onFailure(0);
     }
-    assertThat(health.share(999), equalTo(0.0));
-    assertThat(health.share(1_000), closeTo(0.1, 0.01));
-    assertThat(health.share(3_500), closeTo(0.55, 0.01));
-    assertThat(health.share(6_000), equalTo(1.0));
+    assertThat(health.loadShare(999), equalTo(0.0));
+    assertThat(health.loadShare(1_000), closeTo(0.1, 0.01));
+    assertThat(health.loadShare(3_500), closeTo(0.55, 0.01));
+    assertThat(health.loadShare(6_000), equalTo(1.0));
   }
 }
--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -173,7 +173,7 @@
             && !report.leaving()
             && known.missedReports < Known.MOST_MISSED
             && known.health.isUsable(now);
-    int capacity = (int) Math.ceil(report.capacity() * known.health.share(now));
+    int capacity = (int) Math.ceil(report.capacity() * known.health.loadShare(now));
     return new EngineView(
         new ServerId(machine.id()),
         machine.address(),
--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -44,7 +44,7 @@
         machine.address(),
         machine.zone(),
         known.outstanding,
-        now < known.refusingUntilMillis ? 0 : known.health.share(now));
+        now < known.refusingUntilMillis ? 0 : known.health.loadShare(now));
   }
 
   /** A request went to a server. */
