--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -102,7 +102,7 @@
     return Math.max(SMALL_BODY_BYTES, Math.max(maxBytes / 2, maxBytes - COPY_BYTES));
   }
 
-  private boolean hasRoom(BodyPurpose purpose, long bodyBytes, long moreBytes) {
+  private boolean fits(BodyPurpose purpose, long bodyBytes, long moreBytes) {
     long freeBytes = totalBytes - totalHeldBytes;
     if (bodyBytes > SMALL_BODY_BYTES) {
       freeBytes -= smallReserveBytes + unusedReservesOfOthers(purpose, true);
@@ -160,7 +160,7 @@
         throw new IllegalArgumentException("bytes is " + bytes + " but must not be negative");
       }
       long grown = bodyBytes + bytes;
-      if (released || !hasRoom(purpose, grown, cost(grown) - cost(bodyBytes))) {
+      if (released || !fits(purpose, grown, cost(grown) - cost(bodyBytes))) {
         return false;
       }
       resizeTo(grown);
