--- a/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
+++ b/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
@@ -81,8 +81,8 @@
   }
 
   private boolean isDue(ServerId engine, long nowMillis) {
-    Backoff retry = backoffs.get(engine);
-    return retry == null || nowMillis >= retry.dueAtMillis();
+    Backoff backoff = backoffs.get(engine);
+    return backoff == null || nowMillis >= backoff.dueAtMillis();
   }
 
   private record Backoff(long dueAtMillis, long delayMillis) {}
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -196,7 +196,7 @@
     List<ServerEntry> servers = SubsetFixture.servers(12, false, random);
     ServerSubset subset = ServerSubset.of(nodes.get(0), nodes, servers);
     for (int turn = 0; turn < 20; turn++) {
-      assertThat("18 places for 4", subset.forLoad(4, turn), equalTo(subset));
+      assertThat("18 slots for 4", subset.forLoad(4, turn), equalTo(subset));
     }
     assertThat(subset.forLoad(8, 0).size(), is(6));
     assertThat(subset.forLoad(16, 0).size(), is(11));
