--- a/core/src/main/java/org/passhaven/core/tenant/Admission.java
+++ b/core/src/main/java/org/passhaven/core/tenant/Admission.java
@@ -1,22 +1,22 @@
 package org.passhaven.core.tenant;
 
-/** Whether a request is let in, and for whom. */
+/** Result of authenticating a request by its API key. */
 public sealed interface Admission {
   /**
-   * It is let in.
+   * The request is admitted.
    *
    * @param tenant name of the tenant that it runs for; empty if it runs for none
    */
   record Admitted(String tenant) implements Admission {}
 
-  /** It is not let in. */
+  /** The request is rejected. */
   record Rejected(Reason reason) implements Admission {}
 
-  /** Why a request is not let in. */
+  /** Reason for a rejection. */
   enum Reason {
-    /** It shows no key, or not exactly one. */
+    /** The request has no key, or more than one. */
     NO_KEY,
-    /** No tenant of the configuration in force has its key. */
+    /** No tenant of the configuration in force has the key. */
     UNKNOWN_KEY
   }
 }
--- a/core/src/main/java/org/passhaven/core/tenant/Tenant.java
+++ b/core/src/main/java/org/passhaven/core/tenant/Tenant.java
@@ -4,16 +4,17 @@
 import java.util.OptionalInt;
 
 /**
- * Somebody on whose account requests run.
+ * Tenant on whose account requests run.
  *
- * @param priority rank of its requests, 0 first; goes before the rank of their route where given
+ * @param priority priority of its requests, 0 is the most urgent; overrides the priority of their
+ *     route if present
  */
 public record Tenant(String name, OptionalInt priority) {
   public Tenant {
     Objects.requireNonNull(name, "name");
     Objects.requireNonNull(priority, "priority");
     if (name.isEmpty()) {
-      throw new IllegalArgumentException("a tenant needs a name");
+      throw new IllegalArgumentException("the name of a tenant must not be empty");
     }
   }
 }
--- a/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
+++ b/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
@@ -9,37 +9,38 @@
 import org.passhaven.core.tenant.Admission.Rejected;
 
 /**
- * Tenants of one configuration by their keys; immutable. A look-up takes the same time however many
- * there are. Keys are secrets: no message and no text of this class holds one.
+ * Immutable lookup table of the tenants of one configuration by API key and by name; a lookup takes
+ * constant time. Keys are secrets: they must not appear in messages or in {@link #toString}.
  */
 public final class TenantTable {
-  /** No tenants: no request needs a key. */
+  /** Table without tenants: no request needs a key. */
   public static final TenantTable NONE = new TenantTable(Map.of());
 
   private final Map<String, Tenant> byKey;
   private final Map<String, Tenant> byName = new HashMap<>();
 
-  /** Creates a table of tenants by key. */
+  /** Creates a table of the tenants by key. */
   public TenantTable(Map<String, Tenant> byKey) {
     this.byKey = Map.copyOf(byKey);
     byKey.values().forEach(tenant -> byName.put(tenant.name(), tenant));
   }
 
-  /** Whether requests need no key. */
+  /** Returns whether the table has no tenants, so that requests need no key. */
   public boolean isEmpty() {
     return byKey.isEmpty();
   }
 
-  /** Number of tenants that have a key. */
+  /** Returns the number of tenants that have a key. */
   public int size() {
     return byName.size();
   }
 
   /**
-   * Whether a request is let in. A public one always is, and runs for the tenant whose key it shows
-   * all the same, if there is one.
+   * Authenticates a request. A public request is always admitted, and runs for the tenant of its
+   * key if there is one.
    *
-   * @param isPublic whether it needs no key
+   * @param isPublic whether the request needs no key
+   * @param key key in the request; empty if there is not exactly one
    */
   public Admission admit(boolean isPublic, Optional<String> key) {
     Tenant tenant = key.map(byKey::get).orElse(null);
@@ -52,7 +53,10 @@
     return new Rejected(key.isEmpty() ? Reason.NO_KEY : Reason.UNKNOWN_KEY);
   }
 
-  /** Rank of a tenant's requests; empty if the tenant has none, or no key any more. */
+  /**
+   * Returns the priority of a tenant's requests; empty if the tenant has none or no longer has a
+   * key.
+   */
   public OptionalInt priorityOf(String tenant) {
     Tenant known = byName.get(tenant);
     return known == null ? OptionalInt.empty() : known.priority();
--- a/core/src/main/java/org/passhaven/core/tenant/package-info.java
+++ b/core/src/main/java/org/passhaven/core/tenant/package-info.java
@@ -1,2 +1,5 @@
-/** Who may call: tenants, their keys and ranks, and whom a request is let in for. Pure. */
+/**
+ * Tenants, their API keys and priorities, and the authentication of requests. Pure logic without
+ * I/O.
+ */
 package org.passhaven.core.tenant;
--- a/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
@@ -9,46 +9,55 @@
 import java.util.TreeMap;
 import org.passhaven.protocol.usage.UsageRecord;
 
-/** Requests that this start of a node has brought to run, by window and tenant. Not thread-safe. */
+/**
+ * Counts the requests that one incarnation of a node has started, by window and tenant. Not
+ * thread-safe.
+ */
 public final class UsageCounter {
-  /** Windows are fixed some seconds after their end; older counts can change nothing. */
-  private static final int MOST_WINDOWS = 16;
+  /** Windows are fixed some seconds after their end, so older counts have no effect. */
+  private static final int MAX_WINDOWS = 16;
 
   private final String node;
   private final long incarnation;
   private final TreeMap<Long, Map<String, Long>> countsByWindow = new TreeMap<>();
-  private final Set<Long> untold = new HashSet<>();
+  private final Set<Long> unpublishedWindows = new HashSet<>();
 
-  /** Creates the counter of one start of a node. */
+  /** Creates the counter of one incarnation of a node. */
   public UsageCounter(String node, long incarnation) {
     this.node = node;
     this.incarnation = incarnation;
   }
 
-  /** A request of a tenant began to run in a window. */
+  /** Counts a request of a tenant that started in a window. */
   public void onBegan(String tenant, long window) {
     countsByWindow.computeIfAbsent(window, key -> new HashMap<>()).merge(tenant, 1L, Long::sum);
-    untold.add(window);
-    while (countsByWindow.size() > MOST_WINDOWS) {
-      untold.remove(countsByWindow.pollFirstEntry().getKey());
+    unpublishedWindows.add(window);
+    while (countsByWindow.size() > MAX_WINDOWS) {
+      unpublishedWindows.remove(countsByWindow.pollFirstEntry().getKey());
     }
   }
 
-  /** What has changed since the last call; counts as told from now on. */
+  /**
+   * Returns records of the counts that have changed since the last call, and marks them as
+   * published.
+   */
   public List<UsageRecord> takeUntold() {
     List<UsageRecord> records = new ArrayList<>();
-    untold.forEach(
+    unpublishedWindows.forEach(
         window ->
             records.add(new UsageRecord(node, incarnation, window, countsByWindow.get(window))));
-    untold.clear();
+    unpublishedWindows.clear();
     return records;
   }
 
-  /** Records that were taken may not be in the log: they are told again. */
+  /**
+   * Marks the windows of these records as unpublished, because appending them to the log may have
+   * failed.
+   */
   public void onNotTold(List<UsageRecord> records) {
     records.stream()
         .map(UsageRecord::window)
         .filter(countsByWindow::containsKey)
-        .forEach(untold::add);
+        .forEach(unpublishedWindows::add);
   }
 }
--- a/core/src/main/java/org/passhaven/core/usage/UsageReports.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageReports.java
@@ -8,60 +8,67 @@
 import org.passhaven.protocol.duty.DutyRecord.UsageReported;
 
 /**
- * Which windows were fixed and reported, by the log, and which one is to be fixed or reported next.
- * A window is reported with the counts of its first record only, so every holder, and every repeat,
- * says the same. Windows are taken in their order. Not thread-safe.
+ * Tracks which windows were fixed and reported according to the log, and which one is to be fixed
+ * or reported next. To fix a window means to record its final counts. A window is reported with the
+ * counts of its first record only, so every holder and every repetition reports the same. Windows
+ * are processed in order. Not thread-safe.
  */
 public final class UsageReports {
-  /** After a long outage older windows are given up: 10 minutes of windows of 5 s. */
-  private static final int MOST_BEHIND = 120;
+  /**
+   * Limit on the backlog: older windows are dropped after a long outage (10 minutes with windows of
+   * 5 s).
+   */
+  private static final int MAX_BACKLOG_WINDOWS = 120;
 
-  private final TreeMap<Long, Map<String, Long>> unreported = new TreeMap<>();
+  private final TreeMap<Long, Map<String, Long>> unreportedCountsByWindow = new TreeMap<>();
   private long newestFixed = Long.MIN_VALUE;
   private long newestReported = Long.MIN_VALUE;
   private long readTo;
 
-  /** Folds a record that fixes a window. */
+  /** Applies a record that fixes a window. */
   public void onFixed(UsageFixed fixed) {
     if (fixed.window() > newestFixed) {
       newestFixed = fixed.window();
       readTo = Math.max(readTo, fixed.readTo());
       if (fixed.window() > newestReported) {
-        unreported.put(fixed.window(), fixed.counts());
+        unreportedCountsByWindow.put(fixed.window(), fixed.counts());
       }
     }
   }
 
-  /** Folds a record that tells of a report. */
+  /** Applies a record of a completed report. */
   public void onReported(UsageReported reported) {
     newestReported = Math.max(newestReported, reported.window());
-    unreported.remove(reported.window());
+    unreportedCountsByWindow.remove(reported.window());
   }
 
-  /** Offset of the stream of counts behind which nothing of a fixed window can stand. */
+  /**
+   * Returns the offset in the stream of counts from which a new holder must read: records of
+   * windows that are not fixed yet are not before it.
+   */
   public long readTo() {
     return readTo;
   }
 
-  /** Whether a window is to be fixed or reported. */
+  /** Returns whether a window is to be fixed or reported. */
   public boolean isNeeded(long newestDue) {
-    return !unreported.isEmpty() || nextToFix(newestDue).isPresent();
+    return !unreportedCountsByWindow.isEmpty() || nextToFix(newestDue).isPresent();
   }
 
-  /** The oldest window that was fixed and, by all that is known, not reported. */
+  /** Returns the oldest window that was fixed and is not known to be reported. */
   public Optional<Map.Entry<Long, Map<String, Long>>> nextToReport() {
-    return Optional.ofNullable(unreported.firstEntry());
+    return Optional.ofNullable(unreportedCountsByWindow.firstEntry());
   }
 
   /**
-   * The next window to fix; empty if none is due. A fleet that was never there before begins with
-   * the newest one that is due.
+   * Returns the next window to fix; empty if none is due. A new fleet begins with the newest window
+   * that is due.
    */
   public OptionalLong nextToFix(long newestDue) {
     if (newestFixed == Long.MIN_VALUE) {
       return OptionalLong.of(newestDue);
     }
-    long next = Math.max(newestFixed + 1, newestDue - MOST_BEHIND);
+    long next = Math.max(newestFixed + 1, newestDue - MAX_BACKLOG_WINDOWS);
     return next <= newestDue ? OptionalLong.of(next) : OptionalLong.empty();
   }
 }
--- a/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
@@ -1,19 +1,19 @@
 package org.passhaven.core.usage;
 
 /**
- * Pace of usage reports.
+ * Timing of usage reports.
  *
- * @param windowMillis length of a window; window k begins k times that after the start of 1970
- * @param fixAfterMillis time after a window's end at which its counts are fixed: what a node has
- *     counted is in the log by then
- * @param mostTellsPerSecond appends of counts that all nodes together may make
+ * @param windowMillis length of a window; window k begins k window lengths after the Unix epoch
+ * @param fixAfterMillis time after a window's end at which its counts are fixed; all nodes have
+ *     published their counts by then
+ * @param mostTellsPerSecond maximum number of appends of counts per second by all nodes together
  */
 public record UsageSettings(long windowMillis, long fixAfterMillis, int mostTellsPerSecond) {
   /**
-   * What a node has counted and not told is lost with it, and with a whole fleet all of it: a
-   * twentieth of a window of 5 s is what a report may be off.
+   * Limits the load on the log. Unpublished counts are lost with their node, so the interval also
+   * bounds the error of a report.
    */
-  private static final long LEAST_TELL_MILLIS = 250;
+  private static final long MIN_PUBLISH_INTERVAL_MILLIS = 250;
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -30,23 +30,24 @@
   }
 
   /**
-   * Time between two tells of a node, so that all nodes together stay within their share of the
-   * log. Counts are there well before they are fixed, at any size.
+   * Returns the interval at which a node publishes its counts, such that all nodes together stay
+   * within their share of the log's capacity and counts are published before they are fixed.
    *
-   * @param liveNodes nodes that are known to be alive
+   * @param liveNodes number of nodes that are known to be alive
    */
   public long tellMillis(int liveNodes) {
-    long shared = liveNodes * MILLIS_PER_SECOND / mostTellsPerSecond;
-    return Math.max(LEAST_TELL_MILLIS, Math.min(fixAfterMillis / 2, shared));
+    long sharedIntervalMillis = liveNodes * MILLIS_PER_SECOND / mostTellsPerSecond;
+    return Math.max(
+        MIN_PUBLISH_INTERVAL_MILLIS, Math.min(fixAfterMillis / 2, sharedIntervalMillis));
   }
 
-  /** Number of the window in which a moment of true time lies. */
-  public long windowAt(long trueMillis) {
-    return Math.floorDiv(trueMillis, windowMillis);
+  /** Returns the number of the window that contains a moment. */
+  public long windowAt(long timeOfDayMillis) {
+    return Math.floorDiv(timeOfDayMillis, windowMillis);
   }
 
-  /** The newest window whose counts are to be fixed by now. */
-  public long newestDue(long trueMillis) {
-    return windowAt(trueMillis - fixAfterMillis) - 1;
+  /** Returns the newest window whose counts are due to be fixed. */
+  public long newestDue(long timeOfDayMillis) {
+    return windowAt(timeOfDayMillis - fixAfterMillis) - 1;
   }
 }
--- a/core/src/main/java/org/passhaven/core/usage/UsageTable.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageTable.java
@@ -6,30 +6,30 @@
 import java.util.TreeMap;
 import org.passhaven.protocol.usage.UsageRecord;
 
-/** Fold of the counts of all nodes. Not thread-safe. */
+/** Replicated counts of all nodes by window. Not thread-safe. */
 public final class UsageTable {
-  private final TreeMap<Long, Map<Start, Map<String, Long>>> windows = new TreeMap<>();
+  private final TreeMap<Long, Map<Incarnation, Map<String, Long>>> countsByWindow = new TreeMap<>();
 
-  /** Where the first record of each window stands. */
-  private final TreeMap<Long, Long> offsets = new TreeMap<>();
+  /** Offset of the first record of each window. */
+  private final TreeMap<Long, Long> firstOffsetByWindow = new TreeMap<>();
 
-  private record Start(String node, long incarnation) {}
+  private record Incarnation(String node, long incarnation) {}
 
-  /** Folds the record at an offset; one that comes again or late changes nothing. */
+  /** Applies the record at an offset; duplicate and outdated records have no effect. */
   public void onRecord(UsageRecord record, long offset) {
-    offsets.merge(record.window(), offset, Math::min);
+    firstOffsetByWindow.merge(record.window(), offset, Math::min);
     Map<String, Long> counts =
-        windows
+        countsByWindow
             .computeIfAbsent(record.window(), key -> new HashMap<>())
             .computeIfAbsent(
-                new Start(record.node(), record.incarnation()), key -> new HashMap<>());
+                new Incarnation(record.node(), record.incarnation()), key -> new HashMap<>());
     record.counts().forEach((tenant, count) -> counts.merge(tenant, count, Math::max));
   }
 
-  /** Requests by tenant that all nodes together told of a window. */
+  /** Returns the number of requests in a window by tenant, added up over all nodes. */
   public Map<String, Long> totals(long window) {
     Map<String, Long> totals = new HashMap<>();
-    windows
+    countsByWindow
         .getOrDefault(window, Map.of())
         .values()
         .forEach(
@@ -37,14 +37,16 @@
     return totals;
   }
 
-  /** The lowest offset of a record of a later window; empty if there is none. */
+  /** Returns the lowest offset of a record of a later window; empty if there is none. */
   public OptionalLong firstOffsetBehind(long window) {
-    return offsets.tailMap(window, false).values().stream().mapToLong(Long::longValue).min();
+    return firstOffsetByWindow.tailMap(window, false).values().stream()
+        .mapToLong(Long::longValue)
+        .min();
   }
 
-  /** Forgets windows up to and including one. */
+  /** Removes all windows up to and including {@code window}. */
   public void forgetTo(long window) {
-    windows.headMap(window, true).clear();
-    offsets.headMap(window, true).clear();
+    countsByWindow.headMap(window, true).clear();
+    firstOffsetByWindow.headMap(window, true).clear();
   }
 }
--- a/core/src/main/java/org/passhaven/core/usage/package-info.java
+++ b/core/src/main/java/org/passhaven/core/usage/package-info.java
@@ -1,2 +1,5 @@
-/** How many requests of each tenant began to run, by window, and when that is reported. Pure. */
+/**
+ * Usage accounting: counts of started requests by tenant and time window, and their reports. Pure
+ * logic without I/O.
+ */
 package org.passhaven.core.usage;
--- a/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
+++ b/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
@@ -20,14 +20,14 @@
       new TenantTable(Map.of("key-1", FIRST, "key-2", FIRST, "key-3", SECOND));
 
   @Test
-  void eachKeyOfATenantLetsInForIt() {
+  void eachKeyOfATenantAuthenticatesTheTenant() {
     assertThat(table.admit(false, Optional.of("key-1")), equalTo(new Admitted("first")));
     assertThat(table.admit(false, Optional.of("key-2")), equalTo(new Admitted("first")));
     assertThat(table.admit(true, Optional.of("key-3")), equalTo(new Admitted("second")));
   }
 
   @Test
-  void withoutAKnownKeyOnlyWhatIsPublicIsLetIn() {
+  void onlyPublicRequestsAreAdmittedWithoutAKnownKey() {
     assertThat(table.admit(false, Optional.empty()), equalTo(new Rejected(Reason.NO_KEY)));
     assertThat(table.admit(false, Optional.of("x")), equalTo(new Rejected(Reason.UNKNOWN_KEY)));
     assertThat(table.admit(true, Optional.empty()), equalTo(new Admitted("")));
@@ -35,20 +35,20 @@
   }
 
   @Test
-  void whereThereAreNoTenantsNobodyNeedsAKey() {
+  void requestsNeedNoKeyWithoutTenants() {
     assertThat(TenantTable.NONE.admit(false, Optional.empty()), equalTo(new Admitted("")));
     assertThat(TenantTable.NONE.admit(false, Optional.of("x")), equalTo(new Admitted("")));
   }
 
   @Test
-  void aTenantsRankIsKnownByItsName() {
+  void thePriorityOfATenantIsFoundByItsName() {
     assertThat(table.priorityOf("first"), equalTo(OptionalInt.of(2)));
     assertThat(table.priorityOf("second"), equalTo(OptionalInt.empty()));
     assertThat(table.priorityOf("third"), equalTo(OptionalInt.empty()));
   }
 
   @Test
-  void noTextHoldsAKey() {
+  void toStringContainsNoKey() {
     assertThat(table.toString(), not(containsString("key-")));
   }
 }
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aFleetThatWasNeverThereBeginsWithTheNewestWindow() {
+  void aNewFleetBeginsWithTheNewestWindow() {
     assertThat(reports.nextToFix(40), equalTo(OptionalLong.of(40)));
     reports.onFixed(fixed(40, 3));
     assertThat(reports.nextToFix(40), equalTo(OptionalLong.empty()));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void theFirstCountsOfAWindowAreReportedHoweverOftenItIsFixed() {
+  void onlyTheFirstCountsOfAWindowAreReported() {
     reports.onFixed(fixed(40, 3));
     reports.onFixed(fixed(40, 4));
     assertThat(reports.nextToReport().get(), equalTo(Map.entry(40L, Map.of("t", 3L))));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void windowsOfALongOutageAreTakenInTheirOrderAndTheOldestGivenUp() {
+  void afterALongOutageWindowsAreReportedInOrderAndTheOldestAreDropped() {
     reports.onFixed(fixed(40, 3));
     reports.onFixed(fixed(41, 3));
     assertThat(reports.nextToReport().get().getKey(), equalTo(40L));
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void copiesAndLateRecordsChangeNothingAndStartsAddUp() {
+  void duplicatesAreIgnoredAndIncarnationsAreAddedUp() {
     List<UsageRecord> records =
         List.of(record(1, 5, 3), record(1, 5, 2), record(1, 5, 3), record(2, 5, 4));
     records.forEach(record -> table.onRecord(record, 10));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aSuccessorReadsFromWhereTheFirstUnfixedWindowBegins() {
+  void theFirstOffsetAfterAWindowIsThatOfALaterWindow() {
     table.onRecord(record(1, 5, 1), 10);
     table.onRecord(record(1, 6, 1), 11);
     table.onRecord(record(1, 5, 2), 12);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whatIsNotToldIsToldAgainAndWholeCountsAreTold() {
+  void unpublishedCountsArePublishedAgainAsTotals() {
     UsageCounter counter = new UsageCounter("n", 1);
     counter.onBegan("t", 5);
     List<UsageRecord> first = counter.takeUntold();
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aJumpOfTheTimeOfDayIsNotBelievedAtOnce() {
+  void aJumpOfTheTimeOfDayTakesEffectWithDelay() {
     TrueTime time = new TrueTime();
     for (int i = 0; i < 40; i++) {
       time.onSample(i * 500L, 1_000_000 + i * 500L);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void allNodesTogetherTellNoMoreThanTheirShareAndInTimeForTheFix() {
+  void publishingIsBoundedAndCompletedBeforeWindowsAreFixed() {
     UsageSettings settings = new UsageSettings(5_000, 3_000, 300);
     assertThat(settings.tellMillis(0), equalTo(250L));
     assertThat(settings.tellMillis(71), equalTo(250L));
