--- a/core/src/main/java/org/passhaven/core/admission/AdmissionVerdict.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionDecision.java
@@ -3,21 +3,21 @@
 import java.util.Objects;
 
 /** Decision on a request that asks for a slot at a service. */
-public sealed interface AdmissionVerdict {
+public sealed interface AdmissionDecision {
   /** The request is sent now. */
-  record Send() implements AdmissionVerdict {}
+  record Send() implements AdmissionDecision {}
 
   /**
    * The request waits; {@link ServiceAdmission#next} returns it when it may be sent or is rejected.
    */
-  record Wait() implements AdmissionVerdict {}
+  record Wait() implements AdmissionDecision {}
 
   /**
    * The request has not run and can't be served in time.
    *
    * @param retryAfterMillis time after which the caller is likely to find a free slot
    */
-  record Reject(Reason reason, long retryAfterMillis) implements AdmissionVerdict {
+  record Reject(Reason reason, long retryAfterMillis) implements AdmissionDecision {
     public Reject {
       Objects.requireNonNull(reason, "reason");
     }
--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.IntUnaryOperator;
+import org.passhaven.core.admission.AdmissionDecision.Reason;
+import org.passhaven.core.admission.AdmissionDecision.Reject;
 import org.passhaven.core.admission.AdmissionRequest.Source;
-import org.passhaven.core.admission.AdmissionVerdict.Reason;
-import org.passhaven.core.admission.AdmissionVerdict.Reject;
 import org.passhaven.core.admission.FairQueue.QueuePosition;
 
 /**
@@ -45,7 +45,7 @@
   private static final double RESPONSE_WEIGHT = 0.1;
 
   /** Decision on a request that was waiting: it is sent now or rejected. */
-  public record Change(AdmissionRequest request, AdmissionVerdict verdict) {}
+  public record Change(AdmissionRequest request, AdmissionDecision verdict) {}
 
   /**
    * Load figures for logs and metrics.
@@ -93,14 +93,14 @@
   }
 
   /** Decides on a new request. It occupies a slot once the decision is to send it. */
-  public AdmissionVerdict offer(AdmissionRequest request, long nowMillis) {
+  public AdmissionDecision offer(AdmissionRequest request, long nowMillis) {
     if (limit.slots() == 0) {
       return reject(request, Reason.NO_SERVER, nowMillis);
     }
     queue.onArrived(request, nowMillis);
     if (hasSlot(request.source(), nowMillis) && !hasWaiting(request.source())) {
       start(request, nowMillis);
-      return new AdmissionVerdict.Send();
+      return new AdmissionDecision.Send();
     }
     long waitUntil = waitUntilMillis(request, nowMillis);
     Optional<Reason> hopeless = rejectionReason(request, waitUntil, nowMillis);
@@ -113,7 +113,7 @@
       return reject(request, Reason.QUEUE_FULL, nowMillis);
     }
     waitUntilMillis.put(request.id(), waitUntil);
-    return new AdmissionVerdict.Wait();
+    return new AdmissionDecision.Wait();
   }
 
   private static long waitUntilMillis(AdmissionRequest request, long nowMillis) {
@@ -245,7 +245,7 @@
       }
       waitUntilMillis.remove(position.get().id());
       start(position.get(), nowMillis);
-      changes.add(new Change(position.get(), new AdmissionVerdict.Send()));
+      changes.add(new Change(position.get(), new AdmissionDecision.Send()));
     }
   }
 
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -23,11 +23,11 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.passhaven.core.admission.AdmissionDecision.Reason;
+import org.passhaven.core.admission.AdmissionDecision.Reject;
+import org.passhaven.core.admission.AdmissionDecision.Send;
+import org.passhaven.core.admission.AdmissionDecision.Wait;
 import org.passhaven.core.admission.AdmissionRequest.Source;
-import org.passhaven.core.admission.AdmissionVerdict.Reason;
-import org.passhaven.core.admission.AdmissionVerdict.Reject;
-import org.passhaven.core.admission.AdmissionVerdict.Send;
-import org.passhaven.core.admission.AdmissionVerdict.Wait;
 import org.passhaven.core.admission.ServiceAdmission.Change;
 
 /**
@@ -62,17 +62,17 @@
     return new AdmissionRequest(ids++, "s", route, tenant, Source.CALLER, 2, now + left);
   }
 
-  private AdmissionVerdict offer(AdmissionRequest request) {
-    AdmissionVerdict verdict = admission.offer(request, now);
+  private AdmissionDecision offer(AdmissionRequest request) {
+    AdmissionDecision verdict = admission.offer(request, now);
     note(request, verdict);
     return verdict;
   }
 
-  private AdmissionVerdict offer(String tenant, Source source, int priority) {
+  private AdmissionDecision offer(String tenant, Source source, int priority) {
     return offer(request(tenant, source, priority, DEADLINE_MILLIS));
   }
 
-  private void note(AdmissionRequest request, AdmissionVerdict verdict) {
+  private void note(AdmissionRequest request, AdmissionDecision verdict) {
     if (verdict instanceof Send) {
       running.add(request);
     } else if (verdict instanceof Reject) {
@@ -245,7 +245,7 @@
   void requestsThatCannotMeetTheirDeadlineAreRejectedAtOnce() {
     fill(Source.CALLER);
     simulate(200, () -> fill(Source.CALLER));
-    AdmissionVerdict verdict = offer(request("a", Source.CALLER, 2, 30));
+    AdmissionDecision verdict = offer(request("a", Source.CALLER, 2, 30));
     assertThat(((Reject) verdict).reason(), is(Reason.TOO_LATE));
   }
 
@@ -263,7 +263,7 @@
 
   @Test
   void requestsAreRejectedIfTheWaitExceedsAThirdOfTheirTime() {
-    AdmissionVerdict verdict = new Wait();
+    AdmissionDecision verdict = new Wait();
     for (int i = 0; !(verdict instanceof Reject) && i < 1_000; i++) {
       verdict = offer(request("a", Source.CALLER, 2, 500));
     }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -213,10 +213,10 @@
         send(submitted);
         return;
       }
-      AdmissionVerdict verdict = admission.offer(item.request(), now);
-      if (verdict instanceof AdmissionVerdict.Send) {
+      AdmissionDecision verdict = admission.offer(item.request(), now);
+      if (verdict instanceof AdmissionDecision.Send) {
         send(submitted);
-      } else if (verdict instanceof AdmissionVerdict.Reject reject) {
+      } else if (verdict instanceof AdmissionDecision.Reject reject) {
         results.rejects++;
         onRefused.accept(reject.retryAfterMillis());
       } else {
@@ -228,7 +228,7 @@
     private void pump() {
       for (Change change : admission.next(now)) {
         Waiting submitted = waiting.remove(change.request().id());
-        if (change.verdict() instanceof AdmissionVerdict.Reject reject) {
+        if (change.verdict() instanceof AdmissionDecision.Reject reject) {
           results.rejects++;
           submitted.onRefused().accept(reject.retryAfterMillis());
         } else {
--- a/node/src/main/java/org/passhaven/node/gateway/AdmissionLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/AdmissionLogger.java
@@ -1,7 +1,7 @@
 package org.passhaven.node.gateway;
 
+import org.passhaven.core.admission.AdmissionDecision.Reject;
 import org.passhaven.core.admission.AdmissionRequest;
-import org.passhaven.core.admission.AdmissionVerdict.Reject;
 import org.passhaven.core.admission.ServiceAdmission.Load;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayMetrics.java
@@ -10,7 +10,7 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import org.passhaven.core.admission.AdmissionVerdict.Reason;
+import org.passhaven.core.admission.AdmissionDecision.Reason;
 import org.passhaven.core.admission.ServiceAdmission;
 import org.passhaven.core.job.JobScheduler;
 import org.passhaven.spi.BackEndException;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Function;
+import org.passhaven.core.admission.AdmissionDecision;
+import org.passhaven.core.admission.AdmissionDecision.Reject;
 import org.passhaven.core.admission.AdmissionRequest;
 import org.passhaven.core.admission.AdmissionRequest.Source;
-import org.passhaven.core.admission.AdmissionVerdict;
-import org.passhaven.core.admission.AdmissionVerdict.Reject;
 import org.passhaven.core.admission.ServiceAdmission;
 import org.passhaven.core.admission.ServiceAdmission.Change;
 import org.passhaven.core.backend.ServerEntry;
@@ -102,8 +102,8 @@
     void acquire(SlotListener slotListener) {
       listener = slotListener;
       service.slots.put(request.id(), this);
-      AdmissionVerdict verdict = service.admission.offer(request, context.nowMillis());
-      if (verdict instanceof AdmissionVerdict.Wait) {
+      AdmissionDecision verdict = service.admission.offer(request, context.nowMillis());
+      if (verdict instanceof AdmissionDecision.Wait) {
         onQueued();
       } else {
         apply(verdict);
@@ -119,7 +119,7 @@
       service.sweepLater();
     }
 
-    private void apply(AdmissionVerdict verdict) {
+    private void apply(AdmissionDecision verdict) {
       if (verdict instanceof Reject reject) {
         rejected = reject;
         long now = context.nowMillis();
