--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -45,7 +45,7 @@
   private static final double RESPONSE_WEIGHT = 0.1;
 
   /** Decision on a request that was waiting: it is sent now or rejected. */
-  public record Change(AdmissionRequest request, AdmissionDecision verdict) {}
+  public record WaitingDecision(AdmissionRequest request, AdmissionDecision verdict) {}
 
   /**
    * Load figures for logs and metrics.
@@ -229,14 +229,14 @@
    * Decides which waiting requests are sent now and which are rejected. Call it when a request has
    * ended, when servers have changed, and every {@link #SWEEP_MILLIS} while requests wait.
    */
-  public List<Change> next(long nowMillis) {
-    List<Change> changes = new ArrayList<>();
+  public List<WaitingDecision> next(long nowMillis) {
+    List<WaitingDecision> changes = new ArrayList<>();
     sendWhileSlotsAreFree(changes, nowMillis);
     rejectUnservable(changes, nowMillis);
     return changes;
   }
 
-  private void sendWhileSlotsAreFree(List<Change> changes, long nowMillis) {
+  private void sendWhileSlotsAreFree(List<WaitingDecision> changes, long nowMillis) {
     while (limit.slots() > 0 && queue.size() > 0) {
       Optional<AdmissionRequest> position =
           queue.poll(source -> hasSlot(source, nowMillis), nowMillis);
@@ -245,11 +245,11 @@
       }
       waitUntilMillis.remove(position.get().id());
       start(position.get(), nowMillis);
-      changes.add(new Change(position.get(), new AdmissionDecision.Send()));
+      changes.add(new WaitingDecision(position.get(), new AdmissionDecision.Send()));
     }
   }
 
-  private void rejectUnservable(List<Change> changes, long nowMillis) {
+  private void rejectUnservable(List<WaitingDecision> changes, long nowMillis) {
     while (queue.size() > MAX_WAITING) {
       rejectWaiting(queue.firstToReject(), Reason.QUEUE_FULL, changes, nowMillis);
     }
@@ -269,11 +269,11 @@
   }
 
   private void rejectWaiting(
-      AdmissionRequest request, Reason reason, List<Change> changes, long nowMillis) {
+      AdmissionRequest request, Reason reason, List<WaitingDecision> changes, long nowMillis) {
     Reject verdict = reject(request, reason, nowMillis);
     queue.remove(request);
     waitUntilMillis.remove(request.id());
-    changes.add(new Change(request, verdict));
+    changes.add(new WaitingDecision(request, verdict));
   }
 
   /** Limits the wait of requests because the node has begun to shut down. */
@@ -282,8 +282,8 @@
   }
 
   /** Rejects all waiting requests because the node shuts down now. */
-  public List<Change> end(long nowMillis) {
-    List<Change> changes = new ArrayList<>();
+  public List<WaitingDecision> end(long nowMillis) {
+    List<WaitingDecision> changes = new ArrayList<>();
     queue.all().forEach(request -> rejectWaiting(request, Reason.STOPPING, changes, nowMillis));
     return changes;
   }
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -28,7 +28,7 @@
 import org.passhaven.core.admission.AdmissionDecision.Send;
 import org.passhaven.core.admission.AdmissionDecision.Wait;
 import org.passhaven.core.admission.AdmissionRequest.Source;
-import org.passhaven.core.admission.ServiceAdmission.Change;
+import org.passhaven.core.admission.ServiceAdmission.WaitingDecision;
 
 /**
  * Guards against unfair or overloading admission decisions, with two servers of four slots each:
@@ -84,14 +84,14 @@
     return request.tenant() + request.source() + request.priority();
   }
 
-  private List<Change> next() {
-    List<Change> changes = admission.next(now);
+  private List<WaitingDecision> next() {
+    List<WaitingDecision> changes = admission.next(now);
     changes.forEach(change -> note(change.request(), change.verdict()));
     return changes;
   }
 
   /** Ends the request that was sent first and returns the resulting decisions. */
-  private List<Change> endOne() {
+  private List<WaitingDecision> endOne() {
     AdmissionRequest first = running.poll();
     admission.onAnswer(first, WORK_MILLIS, now);
     admission.onEnded(first);
@@ -279,7 +279,7 @@
     fill(Source.CALLER);
     int waiting = admission.load(now).waiting();
     now += DEADLINE_MILLIS / 3;
-    List<Change> changes = next();
+    List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(waiting));
     assertThat(((Reject) changes.get(0).verdict()).reason(), is(Reason.TOO_LONG));
   }
@@ -291,7 +291,7 @@
     int waiting = admission.load(now).waiting();
     List<AdmissionRequest> sent = List.copyOf(running);
     admission.onServers(0, 0, now);
-    List<Change> changes = next();
+    List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(waiting));
     changes.forEach(
         change -> assertThat(((Reject) change.verdict()).reason(), is(Reason.NO_SERVER)));
@@ -308,7 +308,7 @@
     }
     int before = admission.load(now).waiting();
     admission.onServers(1, 1, now);
-    List<Change> changes = next();
+    List<WaitingDecision> changes = next();
     assertThat(changes, not(empty()));
     assertThat(changes.size(), lessThan(before));
     changes.forEach(change -> assertThat(change.verdict(), instanceOf(Reject.class)));
@@ -357,7 +357,7 @@
     admission.stop(now);
     assertThat(next(), empty());
     now += 1_000;
-    List<Change> changes = next();
+    List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(1));
     assertThat(offer("a", Source.SCORING, 2), instanceOf(Reject.class));
   }
@@ -365,7 +365,7 @@
   @Test
   void shutdownRejectsWaitingRequestsButNotSentOnes() {
     fill(Source.SCORING);
-    List<Change> changes = admission.end(now);
+    List<WaitingDecision> changes = admission.end(now);
     assertThat(changes, hasSize(1));
     assertThat(((Reject) changes.get(0).verdict()).reason(), is(Reason.STOPPING));
     assertThat(running.contains(changes.get(0).request()), is(false));
@@ -381,7 +381,7 @@
     int maxWaiting = admission.load(now).waiting();
     AdmissionRequest other = request("quiet", Source.SCORING, 2, 60_000);
     assertThat(offer(other), instanceOf(Wait.class));
-    List<Change> changes = next();
+    List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(1));
     assertThat(changes.get(0).request().tenant(), equalTo("flood"));
     assertThat(admission.load(now).waiting(), equalTo(maxWaiting));
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.passhaven.core.admission.AdmissionRequest.Source;
-import org.passhaven.core.admission.ServiceAdmission.Change;
+import org.passhaven.core.admission.ServiceAdmission.WaitingDecision;
 
 /**
  * Simulation of a few servers of one service, runners that send them bursts of scorings, and
@@ -226,7 +226,7 @@
     }
 
     private void pump() {
-      for (Change change : admission.next(now)) {
+      for (WaitingDecision change : admission.next(now)) {
         Waiting submitted = waiting.remove(change.request().id());
         if (change.verdict() instanceof AdmissionDecision.Reject reject) {
           results.rejects++;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -10,7 +10,7 @@
 import org.passhaven.core.admission.AdmissionRequest;
 import org.passhaven.core.admission.AdmissionRequest.Source;
 import org.passhaven.core.admission.ServiceAdmission;
-import org.passhaven.core.admission.ServiceAdmission.Change;
+import org.passhaven.core.admission.ServiceAdmission.WaitingDecision;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.route.Route;
 import org.passhaven.spi.BackEndService.Call;
@@ -205,8 +205,8 @@
       }
     }
 
-    void apply(List<Change> changes) {
-      for (Change change : changes) {
+    void apply(List<WaitingDecision> changes) {
+      for (WaitingDecision change : changes) {
         Slot slot = slots.get(change.request().id());
         if (slot != null) {
           slot.apply(change.verdict());
