--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -45,7 +45,7 @@
   private static final double RESPONSE_WEIGHT = 0.1;
 
   /** Decision on a request that was waiting: it is sent now or rejected. */
-  public record WaitingDecision(AdmissionRequest request, AdmissionDecision verdict) {}
+  public record WaitingDecision(AdmissionRequest request, AdmissionDecision decision) {}
 
   /**
    * Load figures for logs and metrics.
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -86,7 +86,7 @@
 
   private List<WaitingDecision> next() {
     List<WaitingDecision> changes = admission.next(now);
-    changes.forEach(change -> note(change.request(), change.verdict()));
+    changes.forEach(change -> note(change.request(), change.decision()));
     return changes;
   }
 
@@ -281,7 +281,7 @@
     now += DEADLINE_MILLIS / 3;
     List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(waiting));
-    assertThat(((Reject) changes.get(0).verdict()).reason(), is(Reason.TOO_LONG));
+    assertThat(((Reject) changes.get(0).decision()).reason(), is(Reason.TOO_LONG));
   }
 
   @Test
@@ -294,7 +294,7 @@
     List<WaitingDecision> changes = next();
     assertThat(changes, hasSize(waiting));
     changes.forEach(
-        change -> assertThat(((Reject) change.verdict()).reason(), is(Reason.NO_SERVER)));
+        change -> assertThat(((Reject) change.decision()).reason(), is(Reason.NO_SERVER)));
     assertThat(offer("a", Source.CALLER, 2), instanceOf(Reject.class));
     assertThat(List.copyOf(running), equalTo(sent));
     changes.forEach(change -> assertThat(sent.contains(change.request()), is(false)));
@@ -311,7 +311,7 @@
     List<WaitingDecision> changes = next();
     assertThat(changes, not(empty()));
     assertThat(changes.size(), lessThan(before));
-    changes.forEach(change -> assertThat(change.verdict(), instanceOf(Reject.class)));
+    changes.forEach(change -> assertThat(change.decision(), instanceOf(Reject.class)));
   }
 
   @Test
@@ -367,7 +367,7 @@
     fill(Source.SCORING);
     List<WaitingDecision> changes = admission.end(now);
     assertThat(changes, hasSize(1));
-    assertThat(((Reject) changes.get(0).verdict()).reason(), is(Reason.STOPPING));
+    assertThat(((Reject) changes.get(0).decision()).reason(), is(Reason.STOPPING));
     assertThat(running.contains(changes.get(0).request()), is(false));
     assertThat(admission.load(now).inProgress(), equalTo(LIMIT));
   }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -228,7 +228,7 @@
     private void pump() {
       for (WaitingDecision change : admission.next(now)) {
         Waiting submitted = waiting.remove(change.request().id());
-        if (change.verdict() instanceof AdmissionDecision.Reject reject) {
+        if (change.decision() instanceof AdmissionDecision.Reject reject) {
           results.rejects++;
           submitted.onRefused().accept(reject.retryAfterMillis());
         } else {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -209,7 +209,7 @@
       for (WaitingDecision change : changes) {
         Slot slot = slots.get(change.request().id());
         if (slot != null) {
-          slot.apply(change.verdict());
+          slot.apply(change.decision());
         }
       }
     }
