--- a/core/src/main/java/org/passhaven/core/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionDecision.java
@@ -8,7 +8,8 @@
   record Send() implements AdmissionDecision {}
 
   /**
-   * The request waits; {@link ServiceAdmission#next} returns it when it may be sent or is rejected.
+   * The request waits; {@link ServiceAdmission#decideWaiting} returns it when it may be sent or is
+   * rejected.
    */
   record Wait() implements AdmissionDecision {}
 
--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Sets the servers that accept new work. Call {@link #next} afterwards.
+   * Sets the servers that accept new work. Call {@link #decideWaiting} afterwards.
    *
    * @param slots number of requests that all of them process concurrently
    */
@@ -229,7 +229,7 @@
    * Decides which waiting requests are sent now and which are rejected. Call it when a request has
    * ended, when servers have changed, and every {@link #SWEEP_MILLIS} while requests wait.
    */
-  public List<WaitingDecision> next(long nowMillis) {
+  public List<WaitingDecision> decideWaiting(long nowMillis) {
     List<WaitingDecision> changes = new ArrayList<>();
     sendWhileSlotsAreFree(changes, nowMillis);
     rejectUnservable(changes, nowMillis);
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -85,7 +85,7 @@
   }
 
   private List<WaitingDecision> next() {
-    List<WaitingDecision> changes = admission.next(now);
+    List<WaitingDecision> changes = admission.decideWaiting(now);
     changes.forEach(change -> note(change.request(), change.decision()));
     return changes;
   }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -226,7 +226,7 @@
     }
 
     private void pump() {
-      for (WaitingDecision change : admission.next(now)) {
+      for (WaitingDecision change : admission.decideWaiting(now)) {
         Waiting submitted = waiting.remove(change.request().id());
         if (change.decision() instanceof AdmissionDecision.Reject reject) {
           results.rejects++;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -198,7 +198,7 @@
       try {
         while (isDispatchDue) {
           isDispatchDue = false;
-          apply(admission.next(context.nowMillis()));
+          apply(admission.decideWaiting(context.nowMillis()));
         }
       } finally {
         isDispatching = false;
