--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -93,7 +93,7 @@
   }
 
   /** Decides on a new request. It occupies a slot once the decision is to send it. */
-  public AdmissionDecision offer(AdmissionRequest request, long nowMillis) {
+  public AdmissionDecision decide(AdmissionRequest request, long nowMillis) {
     if (limit.slots() == 0) {
       return reject(request, Reason.NO_SERVER, nowMillis);
     }
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -63,7 +63,7 @@
   }
 
   private AdmissionDecision offer(AdmissionRequest request) {
-    AdmissionDecision verdict = admission.offer(request, now);
+    AdmissionDecision verdict = admission.decide(request, now);
     note(request, verdict);
     return verdict;
   }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -213,7 +213,7 @@
         send(submitted);
         return;
       }
-      AdmissionDecision verdict = admission.offer(item.request(), now);
+      AdmissionDecision verdict = admission.decide(item.request(), now);
       if (verdict instanceof AdmissionDecision.Send) {
         send(submitted);
       } else if (verdict instanceof AdmissionDecision.Reject reject) {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -102,7 +102,7 @@
     void acquire(SlotListener slotListener) {
       listener = slotListener;
       service.slots.put(request.id(), this);
-      AdmissionDecision verdict = service.admission.offer(request, context.nowMillis());
+      AdmissionDecision verdict = service.admission.decide(request, context.nowMillis());
       if (verdict instanceof AdmissionDecision.Wait) {
         onQueued();
       } else {
