--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -282,7 +282,7 @@
   }
 
   /** Rejects all waiting requests because the node shuts down now. */
-  public List<WaitingDecision> end(long nowMillis) {
+  public List<WaitingDecision> rejectAllWaiting(long nowMillis) {
     List<WaitingDecision> changes = new ArrayList<>();
     queue.all().forEach(request -> rejectWaiting(request, Reason.STOPPING, changes, nowMillis));
     return changes;
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -365,7 +365,7 @@
   @Test
   void shutdownRejectsWaitingRequestsButNotSentOnes() {
     fill(Source.SCORING);
-    List<WaitingDecision> changes = admission.end(now);
+    List<WaitingDecision> changes = admission.rejectAllWaiting(now);
     assertThat(changes, hasSize(1));
     assertThat(((Reject) changes.get(0).decision()).reason(), is(Reason.STOPPING));
     assertThat(running.contains(changes.get(0).request()), is(false));
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -81,7 +81,8 @@
 
   /** Rejects all queued requests, at the end of a planned stop. */
   void close() {
-    knownServices().forEach(service -> service.apply(service.admission.end(context.nowMillis())));
+    knownServices()
+        .forEach(service -> service.apply(service.admission.rejectAllWaiting(context.nowMillis())));
   }
 
   /** The slot of one request at a service; must be released when the request is over. */
