--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -277,7 +277,7 @@
   }
 
   /** Limits the wait of requests because the node has begun to shut down. */
-  public void stop(long nowMillis) {
+  public void beginShutdown(long nowMillis) {
     shutdownWaitUntilMillis = nowMillis + MAX_WAIT_STOPPING_MILLIS;
   }
 
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -354,7 +354,7 @@
   @Test
   void requestsWaitOnlyBrieflyWhileTheNodeStops() {
     fill(Source.SCORING);
-    admission.stop(now);
+    admission.beginShutdown(now);
     assertThat(next(), empty());
     now += 1_000;
     List<WaitingDecision> changes = next();
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -76,7 +76,7 @@
   /** Begins a planned stop: queued requests are sent or rejected soon. */
   void drain() {
     stopping = true;
-    services.values().forEach(service -> service.admission.stop(context.nowMillis()));
+    services.values().forEach(service -> service.admission.beginShutdown(context.nowMillis()));
   }
 
   /** Rejects all queued requests, at the end of a planned stop. */
@@ -174,7 +174,7 @@
           .metrics()
           .registerAdmission(name, this, each -> each.admission.load(context.nowMillis()));
       if (stopping) {
-        admission.stop(context.nowMillis());
+        admission.beginShutdown(context.nowMillis());
       }
       updateServers();
     }
