--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -197,7 +197,7 @@
   }
 
   /** Records a successful response of a server. */
-  public void onAnswer(AdmissionRequest request, long tookMillis, long nowMillis) {
+  public void onResponse(AdmissionRequest request, long tookMillis, long nowMillis) {
     latencies.values().removeIf(each -> each.isIdle(nowMillis));
     double ratio =
         latencies
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -93,7 +93,7 @@
   /** Ends the request that was sent first and returns the resulting decisions. */
   private List<WaitingDecision> endOne() {
     AdmissionRequest first = running.poll();
-    admission.onAnswer(first, WORK_MILLIS, now);
+    admission.onResponse(first, WORK_MILLIS, now);
     admission.onEnded(first);
     served.merge(kindOf(first), 1, Integer::sum);
     served.merge(first.route(), 1, Integer::sum);
@@ -253,7 +253,7 @@
   @Test
   void outdatedResponseTimesOfARouteAreForgotten() {
     AdmissionRequest slow = request("a", Source.CALLER, 2, DEADLINE_MILLIS);
-    admission.onAnswer(slow, 3 * DEADLINE_MILLIS, now);
+    admission.onResponse(slow, 3 * DEADLINE_MILLIS, now);
     now += 60_000;
     fill(Source.SCORING);
     fill(Source.CALLER);
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -261,7 +261,7 @@
       own.merge(server, -1, Integer::sum);
       AdmissionRequest request = submitted.item().request();
       if (isServed) {
-        admission.onAnswer(request, now - sentAt, now);
+        admission.onResponse(request, now - sentAt, now);
         admission.onEnded(request);
         submitted.onServed().run();
         pump();
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -134,7 +134,7 @@
 
     /** Records a successful answer and its latency. */
     void onAnswer(long tookMillis) {
-      service.admission.onAnswer(request, tookMillis, context.nowMillis());
+      service.admission.onResponse(request, tookMillis, context.nowMillis());
     }
 
     /** Records that a server refused the request because it is full. */
