--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -209,7 +209,7 @@
   }
 
   /** Records that a server refused a request because it is full. */
-  public void onFull(long nowMillis) {
+  public void onServerFull(long nowMillis) {
     limit.onFull(nowMillis);
   }
 
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -268,7 +268,7 @@
         return;
       }
       results.serverRefusals++;
-      admission.onFull(now);
+      admission.onServerFull(now);
       if (++submitted.item().refusals()[0] < MAX_REFUSALS) {
         schedule(PAUSE_MILLIS, () -> send(submitted));
         return;
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -139,7 +139,7 @@
 
     /** Records that a server refused the request because it is full. */
     void onFull() {
-      service.admission.onFull(context.nowMillis());
+      service.admission.onServerFull(context.nowMillis());
     }
 
     /** Returns the time after which the caller may retry a request that was not run. */
