--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -36,7 +36,7 @@
   private static final long MAX_OUTAGE_RETRY_MILLIS = 2_000;
 
   /** Interval of the checks of waiting requests; short compared with a response time. */
-  public static final long SWEEP_MILLIS = 10;
+  public static final long SWEEP_INTERVAL_MILLIS = 10;
 
   /** Assumed response time until the first response has arrived. */
   private static final double INITIAL_RESPONSE_MILLIS = 30;
@@ -227,7 +227,7 @@
 
   /**
    * Decides which waiting requests are sent now and which are rejected. Call it when a request has
-   * ended, when servers have changed, and every {@link #SWEEP_MILLIS} while requests wait.
+   * ended, when servers have changed, and every {@link #SWEEP_INTERVAL_MILLIS} while requests wait.
    */
   public List<WaitingDecision> decideWaiting(long nowMillis) {
     List<WaitingDecision> changes = new ArrayList<>();
@@ -256,7 +256,7 @@
     if (nowMillis < sweepAtMillis) {
       return;
     }
-    sweepAtMillis = nowMillis + SWEEP_MILLIS;
+    sweepAtMillis = nowMillis + SWEEP_INTERVAL_MILLIS;
     for (QueuePosition position : queue.positions(nowMillis)) {
       AdmissionRequest request = position.request();
       long waitUntil = waitUntilMillis.get(request.id());
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -221,7 +221,7 @@
         context
             .timers()
             .after(
-                ServiceAdmission.SWEEP_MILLIS,
+                ServiceAdmission.SWEEP_INTERVAL_MILLIS,
                 () -> {
                   isSweepScheduled = false;
                   dispatch();
