--- a/core/src/main/java/org/passhaven/core/member/BeatPace.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatInterval.java
@@ -5,7 +5,7 @@
  * of the settings, so that their loss is detected quickly. All other nodes share a bounded number
  * of heartbeats per second, so that the load on the log does not grow with the fleet.
  */
-public final class BeatPace {
+public final class HeartbeatInterval {
   /** Leaves most of the append capacity of a partition to other records. */
   private static final int IDLE_HEARTBEATS_PER_SECOND = 100;
 
@@ -16,7 +16,7 @@
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private BeatPace() {}
+  private HeartbeatInterval() {}
 
   /**
    * Returns the time between two heartbeats of an idle node.
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -7,8 +7,8 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.passhaven.core.member.BeatPace;
 import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatInterval;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.CodecException;
@@ -197,7 +197,7 @@
   private long currentPeriodMillis() {
     return hasJustStarted() || isDependedOn.getAsBoolean()
         ? context.settings().heartbeatInterval().toMillis()
-        : BeatPace.idleMillis(heartbeats.taking().size());
+        : HeartbeatInterval.idleMillis(heartbeats.taking().size());
   }
 
   private void append() {
