--- a/core/src/test/java/org/passhaven/core/member/BeatPaceTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatIntervalTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class BeatPaceTest {
+class HeartbeatIntervalTest {
   @Test
   void idleNodesOfASmallFleetSendOneHeartbeatPerSecond() {
     assertThat(HeartbeatInterval.idleMillis(0), equalTo(1_000L));
