--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.ToLongFunction;
 import java.util.function.UnaryOperator;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.protocol.job.JobRecord.RunClaimed;
 
 /**
@@ -122,7 +122,7 @@
   }
 
   /** Returns whether a run's owner is known to have left or restarted. */
-  public boolean isOwnerGone(String run, BeatTable beats) {
+  public boolean isOwnerGone(String run, HeartbeatTable beats) {
     RunClaimed owner = owners.get(run);
     return owner != null && beats.isOver(owner.node(), owner.incarnation());
   }
@@ -132,7 +132,7 @@
    *
    * @param readTo offset up to which the run's stream was read
    */
-  public Optional<RunClaimed> claim(String run, BeatTable beats, long readTo, long nowMillis) {
+  public Optional<RunClaimed> claim(String run, HeartbeatTable beats, long readTo, long nowMillis) {
     RunClaimed owner = owners.get(run);
     if (owner != null && isOwnerAlive(owner, beats, nowMillis)) {
       ownerlessSinceMillis.remove(run);
@@ -153,7 +153,7 @@
   }
 
   /** Returns whether an owner is alive; a recent claim counts as a sign of life. */
-  private boolean isOwnerAlive(RunClaimed owner, BeatTable beats, long nowMillis) {
+  private boolean isOwnerAlive(RunClaimed owner, HeartbeatTable beats, long nowMillis) {
     boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
     return beats.isTaking(owner.node(), owner.incarnation())
         || (isNewOwner && !beats.isOver(owner.node(), owner.incarnation()));
--- a/core/src/main/java/org/passhaven/core/member/BeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -18,7 +18,7 @@
  * that no node is declared dead because the log is down or this reader can't reach it. Times are in
  * monotonic milliseconds of the reader. Not thread-safe.
  */
-public final class BeatTable {
+public final class HeartbeatTable {
   private static final String CALLERS_KEY_PREFIX = "callers/";
   private static final int MIN_NODES_FOR_CALLERS = 6;
 
@@ -70,7 +70,7 @@
    * @param silenceMillis minimum silence after which a node is dead; longer for nodes with long
    *     heartbeat intervals
    */
-  public BeatTable(long silenceMillis) {
+  public HeartbeatTable(long silenceMillis) {
     this.silenceMillis = silenceMillis;
   }
 
@@ -235,7 +235,7 @@
   /** Returns the live nodes that have recently started, in the order of their first heartbeats. */
   private List<MemberBeat> recentlyStartedInOrder() {
     return taking().stream()
-        .filter(BeatTable::isRecentlyStarted)
+        .filter(HeartbeatTable::isRecentlyStarted)
         .sorted(Comparator.comparingInt(heartbeat -> members.get(heartbeat.node()).firstPosition()))
         .toList();
   }
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -8,13 +8,13 @@
 
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.protocol.job.JobRecord.RunClaimed;
 import org.passhaven.protocol.member.MemberBeat;
 
 /** Guards against runs with two owners, and against runs that no node claims. */
 class RunOwnersTest {
-  private final BeatTable beats = new BeatTable(1_500);
+  private final HeartbeatTable beats = new HeartbeatTable(1_500);
   private final RunOwners a = new RunOwners("a", 1, run -> "run/" + run);
 
   private void heartbeat(String node, long incarnation, boolean taking, long now) {
--- a/core/src/test/java/org/passhaven/core/member/BeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/BeatTableTest.java
@@ -12,7 +12,7 @@
 import org.passhaven.protocol.member.MemberBeat;
 
 class BeatTableTest {
-  private final BeatTable table = new BeatTable(1_500);
+  private final HeartbeatTable table = new HeartbeatTable(1_500);
 
   private static MemberBeat heartbeat(String node, String zone, long incarnation, boolean taking) {
     return new MemberBeat(node, node + ":1", zone, incarnation, taking, 0, 0, 0, 0);
--- a/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
+++ b/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
@@ -21,7 +21,7 @@
   private static final int SMALL_NODES = 60;
   private static final double LARGE_NODE_CORES = 1.5;
   private static final double SMALL_NODE_CORES = 0.36;
-  private final BeatTable table = new BeatTable(1_600);
+  private final HeartbeatTable table = new HeartbeatTable(1_600);
 
   private void heartbeat(String node, long incarnation, double cores) {
     MemberBeat heartbeat =
@@ -77,7 +77,7 @@
 
   @Test
   void equalMachinesRankAsMachinesWithUnknownSize() {
-    BeatTable withoutCores = new BeatTable(1_600);
+    HeartbeatTable withoutCores = new HeartbeatTable(1_600);
     for (int i = 0; i < 12; i++) {
       heartbeat("n" + i, 1, LARGE_NODE_CORES);
       withoutCores.onBeat(new MemberBeat("n" + i, "n:1", "z", 1, true, 0, 500, 0, 0), 1_000);
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Objects;
 import org.passhaven.core.duty.DutyLease;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.CodecException;
@@ -207,7 +207,7 @@
     boolean isFormerHolder = lease.holder().equals(context.settings().node());
     boolean mayClaim = members.isMembershipKnown() || (isFormerHolder && members.isLogReachable());
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
-    BeatTable heartbeats = members.heartbeats();
+    HeartbeatTable heartbeats = members.heartbeats();
     boolean holderAlive =
         heartbeats.isTaking(lease.holder(), lease.holderIncarnation())
             || (lease.isFresh(now)
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -18,7 +18,7 @@
 import org.passhaven.core.job.Job;
 import org.passhaven.core.job.JobTable;
 import org.passhaven.core.job.RunOwners;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.follow.HistoryReads;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
@@ -67,7 +67,7 @@
   private final long[] lastCallAtMillis;
   private final BitSet standbyPartitions = new BitSet();
   private long lastRankedAtMillis = NEVER_MILLIS;
-  private BeatTable heartbeats;
+  private HeartbeatTable heartbeats;
   private final RunOwners owners;
   private final List<LogTail> tails = new ArrayList<>();
   private final PartitionStartScheduler startScheduler;
@@ -180,7 +180,7 @@
    *
    * @param liveNodes live nodes, among which candidates are ranked
    */
-  public void start(BeatTable liveNodes) {
+  public void start(HeartbeatTable liveNodes) {
     if (heartbeats != null) {
       return;
     }
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -7,8 +7,8 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.passhaven.core.member.BeatTable;
 import org.passhaven.core.member.HeartbeatInterval;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.CodecException;
@@ -41,7 +41,7 @@
   private final GatewayContext context;
   private final DoubleSupplier requestsPerSecond;
   private final BooleanSupplier isDependedOn;
-  private final BeatTable heartbeats;
+  private final HeartbeatTable heartbeats;
   private final LogTail tail;
   private boolean isFollowing;
   private boolean isHeartbeatInFlight;
@@ -81,7 +81,7 @@
     this.context = Objects.requireNonNull(context, "context");
     this.requestsPerSecond = Objects.requireNonNull(requestsPerSecond, "requestsPerSecond");
     this.isDependedOn = Objects.requireNonNull(isDependedOn, "isDependedOn");
-    this.heartbeats = new BeatTable(context.settings().heartbeatTimeout().toMillis());
+    this.heartbeats = new HeartbeatTable(context.settings().heartbeatTimeout().toMillis());
     this.tail =
         new LogTail(
             context.log(), context.timers(), STREAM, betweenReadsMillis, new HeartbeatReader());
@@ -126,7 +126,7 @@
   }
 
   /** Returns the heartbeats of all nodes. */
-  public BeatTable heartbeats() {
+  public HeartbeatTable heartbeats() {
     return heartbeats;
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.spi.Timers;
 
@@ -28,7 +28,7 @@
   }
 
   /** Schedules the partitions that are not started, ranked by the nodes that are live now. */
-  void schedule(BeatTable beats) {
+  void schedule(HeartbeatTable beats) {
     for (int partition = 0; partition < tails.size(); partition++) {
       if (!startedPartitions.get(partition)) {
         schedule(partition, delayMillis(beats, tails.get(partition).stream()));
@@ -54,7 +54,7 @@
   }
 
   /** Returns the delay by this node's rank, or a random one while no live node is known. */
-  private long delayMillis(BeatTable beats, String stream) {
+  private long delayMillis(HeartbeatTable beats, String stream) {
     if (beats.taking().isEmpty()) {
       return context.randomBelow().applyAsInt(MAX_START_DELAY_MILLIS);
     }
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -6,7 +6,7 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
 import org.passhaven.protocol.Codec;
@@ -18,7 +18,7 @@
 class JobLogTest {
   private static final int PARTITIONS = 16;
   private final ManualTimers timers = new ManualTimers();
-  private final BeatTable beats = new BeatTable(1_500);
+  private final HeartbeatTable beats = new HeartbeatTable(1_500);
   private final MemoryLog records = new MemoryLog(timers);
   private final JobLog log =
       new JobLog(
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
 import org.passhaven.protocol.Codec;
@@ -77,7 +77,7 @@
   }
 
   private void startLog() {
-    jobLog.start(new BeatTable(1_500));
+    jobLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
   }
 
@@ -123,7 +123,7 @@
     GatewayContext small = context(2_048, 8_192);
     JobLog smallLog = new JobLog(small);
     JobService smallService = new JobService(small, smallLog);
-    smallLog.start(new BeatTable(1_500));
+    smallLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
     byte[] body = new byte[30_000];
     body[29_999] = 7;
@@ -139,7 +139,7 @@
     GatewayContext small = context(2_048, 65_536);
     JobLog smallLog = new JobLog(small);
     JobService smallService = new JobService(small, smallLog);
-    smallLog.start(new BeatTable(1_500));
+    smallLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
     log.appends = MemoryLog.Manner.SILENT;
     List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.job.Job;
 import org.passhaven.core.job.JobTable;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
 import org.passhaven.protocol.Codec;
@@ -59,7 +59,7 @@
     JobSubmission submission = new JobSubmission("j", "h", "/p/", "", "m", "m", 0, 0, 1, items);
     JobRecord part = new JobRecord.JobPart("j", 5, 0, 1, Codec.encode(submission));
     log.stream("jobs.0").add(Codec.encode(part));
-    jobLog.start(new BeatTable(1_500));
+    jobLog.start(new HeartbeatTable(1_500));
     timers.advance(400);
   }
 
--- a/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
+++ b/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
@@ -14,7 +14,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.duty.DutyLease;
-import org.passhaven.core.member.BeatTable;
+import org.passhaven.core.member.HeartbeatTable;
 import org.passhaven.core.order.LoadLimit;
 import org.passhaven.node.gateway.GatewayContext;
 import org.passhaven.node.gateway.GatewayMetrics;
@@ -59,7 +59,7 @@
           checker,
           List.of("a", "b", "c"),
           new CrashingRequests(time, checker, server -> {}, node -> false));
-  private final BeatTable beats = new BeatTable(1_600);
+  private final HeartbeatTable beats = new HeartbeatTable(1_600);
   private final List<JobLog> logs = new ArrayList<>();
 
   private void fill(int partition, int megabytes) {
