--- a/core/src/test/java/org/passhaven/core/member/BeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.protocol.member.MemberBeat;
 
-class BeatTableTest {
+class HeartbeatTableTest {
   private final HeartbeatTable table = new HeartbeatTable(1_500);
 
   private static MemberBeat heartbeat(String node, String zone, long incarnation, boolean taking) {
