--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -75,7 +75,7 @@
   }
 
   /** Applies a heartbeat; heartbeats are passed in the order of the log. */
-  public void onBeat(MemberBeat heartbeat, long nowMillis) {
+  public void onHeartbeat(MemberBeat heartbeat, long nowMillis) {
     Objects.requireNonNull(heartbeat, "heartbeat");
     if (startMillis == Long.MIN_VALUE) {
       startMillis = nowMillis;
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -18,7 +18,7 @@
   private final RunOwners a = new RunOwners("a", 1, run -> "run/" + run);
 
   private void heartbeat(String node, long incarnation, boolean taking, long now) {
-    beats.onBeat(new MemberBeat(node, node + ":1", "z", incarnation, taking, 0, 0, 0, 0), now);
+    beats.onHeartbeat(new MemberBeat(node, node + ":1", "z", incarnation, taking, 0, 0, 0, 0), now);
   }
 
   private String firstCandidate(String run) {
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -20,27 +20,27 @@
 
   @Test
   void aNodeThatIsSilentWhileOthersSendHeartbeatsIsDead() {
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 1_400);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 1_400);
     assertThat(table.isTaking("a"), is(true));
-    table.onBeat(heartbeat("b", "z", 1, true), 1_500);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 1_500);
     assertThat(table.isTaking("a"), is(false));
   }
 
   @Test
   void aNodeWithALongIntervalIsDeadOnlyAfterSeveralMissingHeartbeats() {
-    table.onBeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 3_100);
+    table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 3_100);
     assertThat(table.isTaking("a"), is(true));
-    table.onBeat(heartbeat("b", "z", 1, true), 3_200);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 3_200);
     assertThat(table.isTaking("a"), is(false));
   }
 
   @Test
   void aNodeThatShortensItsIntervalIsDeadSooner() {
-    table.onBeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
-    table.onBeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 400, 0, 0), 100);
-    table.onBeat(heartbeat("b", "z", 1, true), 1_600);
+    table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
+    table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 400, 0, 0), 100);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 1_600);
     assertThat(table.isTaking("a"), is(false));
   }
 
@@ -54,36 +54,36 @@
 
   private void receiveBusyHeartbeats(int nodes) {
     for (int i = 0; i < nodes; i++) {
-      table.onBeat(busyHeartbeat("n" + i, 1), 1_000);
+      table.onHeartbeat(busyHeartbeat("n" + i, 1), 1_000);
     }
   }
 
   @Test
   void aFleetIsLostIfHardlyAnyNodeSendsAnotherHeartbeat() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(table.isFleetLost(), is(false));
-    table.onBeat(recentHeartbeat("self", 9, 500), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 500), 1_510);
     assertThat(table.isFleetLost(), is(false));
-    table.onBeat(recentHeartbeat("self", 9, 501), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 501), 1_510);
     assertThat(table.isFleetLost(), is(true));
     for (int i = 0; i < 4; i++) {
-      table.onBeat(busyHeartbeat("n" + i, 1), 1_520);
+      table.onHeartbeat(busyHeartbeat("n" + i, 1), 1_520);
     }
     assertThat(table.isFleetLost(), is(true));
-    table.onBeat(busyHeartbeat("n4", 1), 1_530);
+    table.onHeartbeat(busyHeartbeat("n4", 1), 1_530);
     assertThat(table.isFleetLost(), is(false));
   }
 
   @Test
   void aLossIsDetectedAtOnceByANodeThatStartsAfterOthers() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("first", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("first", 9, 1), 1_000);
     for (int i = 0; i < 10; i++) {
-      table.onBeat(recentHeartbeat("n" + i, 2, 1), 1_000);
+      table.onHeartbeat(recentHeartbeat("n" + i, 2, 1), 1_000);
     }
-    table.onBeat(recentHeartbeat("first", 9, 520), 1_000);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("first", 9, 520), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
     assertThat(table.isTaking("first"), is(true));
@@ -95,11 +95,11 @@
   void nodesThatRestartTogetherDoNotHideTheLoss() {
     receiveBusyHeartbeats(20);
     for (int i = 0; i < 18; i++) {
-      table.onBeat(recentHeartbeat("back" + i, 9, 1), 1_000);
+      table.onHeartbeat(recentHeartbeat("back" + i, 9, 1), 1_000);
     }
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     for (int i = 0; i < 18; i++) {
-      table.onBeat(recentHeartbeat("back" + i, 9, 501), 1_510);
+      table.onHeartbeat(recentHeartbeat("back" + i, 9, 501), 1_510);
     }
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
@@ -110,53 +110,53 @@
   void theLossOfFewNodesIsNotDetectable() {
     receiveBusyHeartbeats(4);
     assertThat(table.isLossDetectable(), is(false));
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(table.isLossDetectable(), is(true));
   }
 
   @Test
   void aSlowWriteOfAHeartbeatIsNotCountedAsSilence() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     // The write took long, so the next one was written right after it.
-    table.onBeat(recentHeartbeat("self", 9, 20), 4_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 20), 4_000);
     assertThat(table.isFleetLost(), is(false));
   }
 
   @Test
   void anIncarnationWithoutItsFirstHeartbeatIsIgnored() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("other", 9, 300), 1_000);
-    table.onBeat(recentHeartbeat("other", 9, 900), 1_000);
+    table.onHeartbeat(recentHeartbeat("other", 9, 300), 1_000);
+    table.onHeartbeat(recentHeartbeat("other", 9, 900), 1_000);
     assertThat(table.isFleetLost(), is(false));
   }
 
   @Test
   void noLossIsDetectedAfterSkippedHeartbeats() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     table.onGap();
-    table.onBeat(recentHeartbeat("self", 9, 501), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 501), 1_510);
     assertThat(table.isFleetLost(), is(false));
   }
 
   @Test
   void leavingNodesDoNotCountAsLost() {
     for (int i = 0; i < 20; i++) {
-      table.onBeat(new MemberBeat("n" + i, "n:1", "z", 1, false, 0, 500, 0, 60_000), 1_000);
+      table.onHeartbeat(new MemberBeat("n" + i, "n:1", "z", 1, false, 0, 500, 0, 60_000), 1_000);
     }
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
-    table.onBeat(recentHeartbeat("self", 9, 501), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 501), 1_510);
     assertThat(table.isFleetLost(), is(false));
   }
 
   @Test
   void nodesWithoutADueHeartbeatDoNotCountAsLost() {
     for (int i = 0; i < 20; i++) {
-      table.onBeat(new MemberBeat("n" + i, "n:1", "z", 1, true, 0, 4_000, 0, 60_000), 1_000);
+      table.onHeartbeat(new MemberBeat("n" + i, "n:1", "z", 1, true, 0, 4_000, 0, 60_000), 1_000);
     }
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
-    table.onBeat(recentHeartbeat("self", 9, 1_001), 2_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1_001), 2_000);
     assertThat(table.isFleetLost(), is(false));
   }
 
@@ -164,16 +164,16 @@
   void heartbeatsBeforeTheyAreDueShowThatTheFleetIsAlive() {
     // A third of the fleet is restarted, fails soon after, and is restarted again.
     for (int i = 0; i < 20; i++) {
-      table.onBeat(idleHeartbeat("n" + i), 1_000);
+      table.onHeartbeat(idleHeartbeat("n" + i), 1_000);
     }
     for (int i = 0; i < 10; i++) {
-      table.onBeat(recentHeartbeat("again" + i, 2, 1_500), 1_000);
+      table.onHeartbeat(recentHeartbeat("again" + i, 2, 1_500), 1_000);
     }
-    table.onBeat(recentHeartbeat("again0", 3, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("again0", 3, 1), 1_000);
     for (int i = 0; i < 10; i++) {
-      table.onBeat(idleHeartbeat("n" + i), 1_400);
+      table.onHeartbeat(idleHeartbeat("n" + i), 1_400);
     }
-    table.onBeat(recentHeartbeat("again0", 3, 501), 1_510);
+    table.onHeartbeat(recentHeartbeat("again0", 3, 501), 1_510);
     assertThat(table.isFleetLost(), is(false));
   }
 
@@ -184,11 +184,11 @@
   @Test
   void restartedNodesDoNotHideALoss() {
     receiveBusyHeartbeats(6);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     for (int i = 0; i < 3; i++) {
-      table.onBeat(busyHeartbeat("n" + i, 2), 1_400);
+      table.onHeartbeat(busyHeartbeat("n" + i, 2), 1_400);
     }
-    table.onBeat(recentHeartbeat("self", 9, 501), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 501), 1_510);
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
     assertThat(
@@ -198,19 +198,19 @@
 
   @Test
   void inARecentlyStartedFleetTheEarliestNodesRankFirst() {
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_510);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_510);
     for (int i = 0; i < 20; i++) {
-      table.onBeat(recentHeartbeat("late" + i, 2, 1), 1_600 + i);
+      table.onHeartbeat(recentHeartbeat("late" + i, 2, 1), 1_600 + i);
     }
     // Old nodes that still count as alive change nothing while they are few.
-    table.onBeat(busyHeartbeat("old", 1), 1_700);
+    table.onHeartbeat(busyHeartbeat("old", 1), 1_700);
     for (int key = 0; key < 20; key++) {
       assertThat(table.rankOf("key" + key, "self") < 8, is(true));
       assertThat(table.rankOf("key" + key, "late19") < 8, is(false));
       assertThat(table.rankOf("key" + key, "old") < 8, is(false));
     }
     for (int i = 0; i < 20; i++) {
-      table.onBeat(recentHeartbeat("late" + i, 2, 5_000), 6_000);
+      table.onHeartbeat(recentHeartbeat("late" + i, 2, 5_000), 6_000);
     }
     assertThat(isEverFirst("late19"), is(true));
   }
@@ -218,7 +218,7 @@
   @Test
   void inARunningFleetARecentlyStartedNodeRanksAsAnyOther() {
     receiveBusyHeartbeats(20);
-    table.onBeat(recentHeartbeat("self", 9, 1), 1_000);
+    table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(isEverFirst("n7"), is(true));
     assertThat(isEverFirst("self"), is(true));
   }
@@ -234,24 +234,25 @@
 
   @Test
   void noNodeIsDeadBecauseTheLogWasDown() {
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 100);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 100);
     // Nothing is read for a minute, then the first beat of one node.
-    table.onBeat(heartbeat("a", "z", 1, true), 60_000);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 60_000);
     assertThat(table.isTaking("a"), is(true));
   }
 
   @Test
   void aLeavingNodeAcceptsNoWork() {
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
-    table.onBeat(heartbeat("a", "z", 1, false), 10);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
     assertThat(table.taking(), hasSize(0));
   }
 
   private List<String> addressesUnderLoad(double requestsPerSecondEach) {
     for (int i = 0; i < 20; i++) {
       String node = "n" + i;
-      table.onBeat(new MemberBeat(node, node, "z", 1, true, requestsPerSecondEach, 0, 0, 0), 0);
+      table.onHeartbeat(
+          new MemberBeat(node, node, "z", 1, true, requestsPerSecondEach, 0, 0, 0), 0);
     }
     return table.addressesFor("z", 2, 64);
   }
@@ -273,7 +274,7 @@
     for (int i = 0; i < 20; i++) {
       String node = "n" + i;
       if (!node.equals(before.get(0))) {
-        table.onBeat(new MemberBeat(node, node, "z", 1, true, 0.5, 0, 0, 0), 2_000);
+        table.onHeartbeat(new MemberBeat(node, node, "z", 1, true, 0.5, 0, 0, 0), 2_000);
       }
     }
     List<String> after = table.addressesFor("z", 2, 64);
@@ -284,44 +285,44 @@
   @Test
   void anIncarnationHasEndedOnceItLeavesOrIsReplaced() {
     assertThat(table.isOver("a", 1), is(false));
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
     assertThat(table.isOver("a", 1), is(false));
-    table.onBeat(heartbeat("a", "z", 1, false), 10);
+    table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
     assertThat(table.isOver("a", 1), is(true));
-    table.onBeat(heartbeat("a", "z", 2, true), 20);
+    table.onHeartbeat(heartbeat("a", "z", 2, true), 20);
     assertThat(table.isOver("a", 1), is(true));
     assertThat(table.isOver("a", 2), is(false));
   }
 
   @Test
   void aLateHeartbeatOfAnEarlierIncarnationIsIgnored() {
-    table.onBeat(heartbeat("a", "z", 2, true), 0);
-    table.onBeat(heartbeat("a", "z", 1, false), 10);
+    table.onHeartbeat(heartbeat("a", "z", 2, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
     assertThat(table.isTaking("a"), is(true));
   }
 
   @Test
   void aSilentIncarnationIsReplacedByOneWithALowerNumber() {
-    table.onBeat(heartbeat("a", "z", 9, true), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 2_000);
-    table.onBeat(heartbeat("a", "z", 3, false), 2_001);
-    table.onBeat(heartbeat("a", "z", 3, true), 2_002);
+    table.onHeartbeat(heartbeat("a", "z", 9, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 2_000);
+    table.onHeartbeat(heartbeat("a", "z", 3, false), 2_001);
+    table.onHeartbeat(heartbeat("a", "z", 3, true), 2_002);
     assertThat(table.isTaking("a"), is(true));
   }
 
   @Test
   void callersGetNodesOfTheirZoneIfThereAreEnough() {
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 0);
-    table.onBeat(heartbeat("c", "y", 1, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("c", "y", 1, true), 0);
     assertThat(table.addressesFor("z", 2, 64), containsInAnyOrder("a:1", "b:1"));
     assertThat(table.addressesFor("y", 2, 64), containsInAnyOrder("a:1", "b:1", "c:1"));
   }
 
   @Test
   void theMostRecentlyStartedNodeRanksFirst() {
-    table.onBeat(heartbeat("a", "z", 3, true), 0);
-    table.onBeat(heartbeat("b", "z", 9, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 3, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 9, true), 0);
     assertThat(table.rankByYouth("b"), is(0));
     assertThat(table.rankByYouth("a"), is(1));
     assertThat(table.rankByYouth("c"), is(2));
@@ -329,15 +330,15 @@
 
   @Test
   void aLeavingNodeIsReplacedByTheNextRank() {
-    table.onBeat(heartbeat("a", "z", 1, true), 0);
-    table.onBeat(heartbeat("b", "z", 1, true), 0);
-    table.onBeat(heartbeat("c", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("b", "z", 1, true), 0);
+    table.onHeartbeat(heartbeat("c", "z", 1, true), 0);
     List<String> byRank =
         table.taking().stream()
             .map(MemberBeat::node)
             .sorted(Comparator.comparing(node -> table.rankOf("run/m", node)))
             .toList();
-    table.onBeat(heartbeat(byRank.get(0), "z", 1, false), 10);
+    table.onHeartbeat(heartbeat(byRank.get(0), "z", 1, false), 10);
     assertThat(table.rankOf("run/m", byRank.get(1)), is(0));
     assertThat(table.rankOf("run/m", byRank.get(2)), is(1));
   }
--- a/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
+++ b/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
@@ -26,7 +26,7 @@
   private void heartbeat(String node, long incarnation, double cores) {
     MemberBeat heartbeat =
         new MemberBeat(node, node + ":1", "z", incarnation, true, 0, 500, cores, 0);
-    table.onBeat(heartbeat, 1_000);
+    table.onHeartbeat(heartbeat, 1_000);
   }
 
   private void sendAllHeartbeats() {
@@ -80,7 +80,7 @@
     HeartbeatTable withoutCores = new HeartbeatTable(1_600);
     for (int i = 0; i < 12; i++) {
       heartbeat("n" + i, 1, LARGE_NODE_CORES);
-      withoutCores.onBeat(new MemberBeat("n" + i, "n:1", "z", 1, true, 0, 500, 0, 0), 1_000);
+      withoutCores.onHeartbeat(new MemberBeat("n" + i, "n:1", "z", 1, true, 0, 500, 0, 0), 1_000);
     }
     for (int key = 0; key < 100; key++) {
       for (int i = 0; i < 12; i++) {
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -276,7 +276,7 @@
       boolean isOwn =
           heartbeat.node().equals(context.settings().node())
               && heartbeat.incarnation() == context.incarnation();
-      heartbeats.onBeat(heartbeat, context.nowMillis());
+      heartbeats.onHeartbeat(heartbeat, context.nowMillis());
       if (isOwn) {
         onOwnHeartbeatRead();
       } else if (tail.isCaughtUp()) {
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -45,7 +45,7 @@
   @Test
   void theFirstCandidateReadsAPartitionBeforeOtherNodes() {
     for (String node : List.of("n", "other")) {
-      beats.onBeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
+      beats.onHeartbeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
     }
     String own = runWithFirstCandidate("n");
     String others = runWithFirstCandidate("other");
@@ -60,7 +60,7 @@
 
   @Test
   void theNextClaimHasAHigherEpochThanTruncatedClaims() {
-    beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
+    beats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     for (long epoch = 1; epoch <= 10; epoch++) {
@@ -78,7 +78,7 @@
 
   @Test
   void anOwnersClaimIsRenewedBeforeTheLogDropsIt() {
-    beats.onBeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
+    beats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     log.start(beats);
--- a/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
+++ b/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
@@ -89,7 +89,7 @@
 
   private void start(int node) {
     String name = "n" + node;
-    beats.onBeat(
+    beats.onHeartbeat(
         new MemberBeat(name, name + ":1", zoneOf(node), 1, true, 0, 0, 0, 0), time.nowMillis());
     SimulatedProcess process = new SimulatedProcess(time, name, zoneOf(node));
     long incarnation = process.start();
