--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -52,7 +52,7 @@
   private int heartbeatsRead;
   private long startMillis = Long.MIN_VALUE;
   private long newestMillis = Long.MIN_VALUE;
-  private List<MemberBeat> taking;
+  private List<MemberBeat> acceptingNodes;
 
   /**
    * The newest heartbeat of a node.
@@ -81,7 +81,7 @@
       startMillis = nowMillis;
     }
     newestMillis = Math.max(newestMillis, nowMillis);
-    taking = null;
+    acceptingNodes = null;
     int position = heartbeatsRead++;
     if (newestMillis - startMillis < RECENT_START_MILLIS) {
       lossDetector.onHeartbeat(heartbeat, position);
@@ -116,14 +116,14 @@
 
   /** Returns whether enough nodes are considered alive for a loss of the fleet to be detectable. */
   public boolean isLossDetectable() {
-    return taking().size() > FleetLossDetector.MIN_DUE_NODES;
+    return acceptingNodes().size() > FleetLossDetector.MIN_DUE_NODES;
   }
 
   /** Removes the nodes that have not sent a heartbeat since the fleet was lost. */
   public void forgetLost() {
     int lostBefore = lossDetector.firstPositionAfterLoss().orElse(0);
     members.values().removeIf(latest -> latest.position() < lostBefore);
-    taking = null;
+    acceptingNodes = null;
   }
 
   private boolean isSilent(LatestHeartbeat latest) {
@@ -143,11 +143,11 @@
   }
 
   /** Returns the live nodes that accept new work, sorted by name. */
-  public List<MemberBeat> taking() {
-    if (taking == null) {
-      taking = findAccepting();
+  public List<MemberBeat> acceptingNodes() {
+    if (acceptingNodes == null) {
+      acceptingNodes = findAccepting();
     }
-    return taking;
+    return acceptingNodes;
   }
 
   private List<MemberBeat> findAccepting() {
@@ -161,12 +161,12 @@
 
   /** Returns whether a node is alive and accepts new work. */
   public boolean isTaking(String node) {
-    return taking().stream().anyMatch(heartbeat -> heartbeat.node().equals(node));
+    return acceptingNodes().stream().anyMatch(heartbeat -> heartbeat.node().equals(node));
   }
 
   /** Returns whether an incarnation of a node is alive and accepts new work. */
   public boolean isTaking(String node, long incarnation) {
-    return taking().stream()
+    return acceptingNodes().stream()
         .anyMatch(
             heartbeat -> heartbeat.node().equals(node) && heartbeat.incarnation() == incarnation);
   }
@@ -189,9 +189,9 @@
    * started node stays the longest.
    */
   public int rankByYouth(String node) {
-    LargeNodes largeNodes = LargeNodes.among(taking());
+    LargeNodes largeNodes = LargeNodes.among(acceptingNodes());
     List<MemberBeat> ranked =
-        taking().stream()
+        acceptingNodes().stream()
             .sorted(
                 largeNodes
                     .largeFirst()
@@ -221,12 +221,12 @@
 
   private List<Member> rank(String key) {
     List<MemberBeat> recentlyStarted = recentlyStartedInOrder();
-    if (recentlyStarted.size() < RECENT_START_SHARE * taking().size()) {
-      return rank(key, taking());
+    if (recentlyStarted.size() < RECENT_START_SHARE * acceptingNodes().size()) {
+      return rank(key, acceptingNodes());
     }
     Set<MemberBeat> first = Set.copyOf(limitToFirstNodes(recentlyStarted));
     List<MemberBeat> others =
-        taking().stream().filter(heartbeat -> !first.contains(heartbeat)).toList();
+        acceptingNodes().stream().filter(heartbeat -> !first.contains(heartbeat)).toList();
     List<Member> ranked = new ArrayList<>(rank(key, limitToFirstNodes(recentlyStarted)));
     ranked.addAll(rank(key, others));
     return ranked;
@@ -234,7 +234,7 @@
 
   /** Returns the live nodes that have recently started, in the order of their first heartbeats. */
   private List<MemberBeat> recentlyStartedInOrder() {
-    return taking().stream()
+    return acceptingNodes().stream()
         .filter(HeartbeatTable::isRecentlyStarted)
         .sorted(Comparator.comparingInt(heartbeat -> members.get(heartbeat.node()).firstPosition()))
         .toList();
@@ -275,7 +275,7 @@
    * @param maxAddresses maximum number of addresses
    */
   public List<String> addressesFor(String zone, int minInZone, int maxAddresses) {
-    List<MemberBeat> all = taking();
+    List<MemberBeat> all = acceptingNodes();
     List<MemberBeat> inZone =
         all.stream().filter(heartbeat -> heartbeat.zone().equals(zone)).toList();
     List<MemberBeat> selected = inZone.size() >= minInZone ? inZone : all;
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -103,7 +103,7 @@
     }
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
-    assertThat(table.taking(), hasSize(19));
+    assertThat(table.acceptingNodes(), hasSize(19));
   }
 
   @Test
@@ -192,7 +192,7 @@
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
     assertThat(
-        table.taking().stream().map(MemberBeat::node).toList(),
+        table.acceptingNodes().stream().map(MemberBeat::node).toList(),
         containsInAnyOrder("n0", "n1", "n2", "self"));
   }
 
@@ -245,7 +245,7 @@
   void aLeavingNodeAcceptsNoWork() {
     table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
     table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
-    assertThat(table.taking(), hasSize(0));
+    assertThat(table.acceptingNodes(), hasSize(0));
   }
 
   private List<String> addressesUnderLoad(double requestsPerSecondEach) {
@@ -334,7 +334,7 @@
     table.onHeartbeat(heartbeat("b", "z", 1, true), 0);
     table.onHeartbeat(heartbeat("c", "z", 1, true), 0);
     List<String> byRank =
-        table.taking().stream()
+        table.acceptingNodes().stream()
             .map(MemberBeat::node)
             .sorted(Comparator.comparing(node -> table.rankOf("run/m", node)))
             .toList();
--- a/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
+++ b/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
@@ -71,8 +71,8 @@
     for (int i = 0; i < 10; i++) {
       heartbeat("usual" + i, 1, 2);
     }
-    LargeNodes largeNodes = LargeNodes.among(table.taking());
-    assertThat(table.taking().stream().allMatch(largeNodes::contains), is(true));
+    LargeNodes largeNodes = LargeNodes.among(table.acceptingNodes());
+    assertThat(table.acceptingNodes().stream().allMatch(largeNodes::contains), is(true));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -193,7 +193,7 @@
   }
 
   private List<MemberBeat> acceptingNodes() {
-    return members.heartbeats().taking();
+    return members.heartbeats().acceptingNodes();
   }
 
   private List<String> announcedAddressesFor(String zone) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobRunner.java
@@ -228,7 +228,7 @@
           .addKeyValue("run", job.submission().run())
           .addKeyValue("step", job.submission().step())
           .addKeyValue("open", job.submission().items().size() - job.results().size())
-          .addKeyValue("live", members.heartbeats().taking().size())
+          .addKeyValue("live", members.heartbeats().acceptingNodes().size())
           .log("job: run here");
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -197,7 +197,7 @@
   private long currentPeriodMillis() {
     return hasJustStarted() || isDependedOn.getAsBoolean()
         ? context.settings().heartbeatInterval().toMillis()
-        : HeartbeatInterval.idleMillis(heartbeats.taking().size());
+        : HeartbeatInterval.idleMillis(heartbeats.acceptingNodes().size());
   }
 
   private void append() {
@@ -303,11 +303,11 @@
     if (heartbeats.isFleetLost()) {
       isFleetLost = true;
       context.metrics().fleetLosses.increment();
-      int before = heartbeats.taking().size();
+      int before = heartbeats.acceptingNodes().size();
       heartbeats.forgetLost();
       LOG.atInfo()
           .addKeyValue("before", before)
-          .addKeyValue("live", heartbeats.taking().size())
+          .addKeyValue("live", heartbeats.acceptingNodes().size())
           .log("members: the fleet was lost");
       fleetLostCallback.run();
     }
@@ -319,7 +319,7 @@
   }
 
   private void logChange() {
-    List<String> liveNodes = heartbeats.taking().stream().map(MemberBeat::node).toList();
+    List<String> liveNodes = heartbeats.acceptingNodes().stream().map(MemberBeat::node).toList();
     if (tail.isCaughtUp() && !liveNodes.equals(lastLoggedNodes)) {
       lastLoggedNodes = liveNodes;
       LOG.atInfo()
--- a/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
@@ -55,7 +55,7 @@
 
   /** Returns the delay by this node's rank, or a random one while no live node is known. */
   private long delayMillis(HeartbeatTable beats, String stream) {
-    if (beats.taking().isEmpty()) {
+    if (beats.acceptingNodes().isEmpty()) {
       return context.randomBelow().applyAsInt(MAX_START_DELAY_MILLIS);
     }
     int rank = beats.rankOf(stream, context.settings().node());
--- a/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RunClaimer.java
@@ -51,7 +51,7 @@
       LOG.atInfo()
           .addKeyValue("run", run)
           .addKeyValue("epoch", claim.get().epoch())
-          .addKeyValue("live", members.heartbeats().taking().size())
+          .addKeyValue("live", members.heartbeats().acceptingNodes().size())
           .log("job: run claimed");
       append(claim.get());
     }
