--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -145,7 +145,7 @@
         lastClaimMillis != null && nowMillis - lastClaimMillis < CLAIM_RETRY_MILLIS;
     if (isClaimPending
         || nowMillis - sinceMillis < delayMillis
-        || !beats.isTaking(node, incarnation)) {
+        || !beats.isAccepting(node, incarnation)) {
       return Optional.empty();
     }
     claimedAtMillis.put(run, nowMillis);
@@ -155,7 +155,7 @@
   /** Returns whether an owner is alive; a recent claim counts as a sign of life. */
   private boolean isOwnerAlive(RunClaimed owner, HeartbeatTable beats, long nowMillis) {
     boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
-    return beats.isTaking(owner.node(), owner.incarnation())
+    return beats.isAccepting(owner.node(), owner.incarnation())
         || (isNewOwner && !beats.isOver(owner.node(), owner.incarnation()));
   }
 }
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -160,12 +160,12 @@
   }
 
   /** Returns whether a node is alive and accepts new work. */
-  public boolean isTaking(String node) {
+  public boolean isAccepting(String node) {
     return acceptingNodes().stream().anyMatch(heartbeat -> heartbeat.node().equals(node));
   }
 
   /** Returns whether an incarnation of a node is alive and accepts new work. */
-  public boolean isTaking(String node, long incarnation) {
+  public boolean isAccepting(String node, long incarnation) {
     return acceptingNodes().stream()
         .anyMatch(
             heartbeat -> heartbeat.node().equals(node) && heartbeat.incarnation() == incarnation);
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -22,18 +22,18 @@
   void aNodeThatIsSilentWhileOthersSendHeartbeatsIsDead() {
     table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
     table.onHeartbeat(heartbeat("b", "z", 1, true), 1_400);
-    assertThat(table.isTaking("a"), is(true));
+    assertThat(table.isAccepting("a"), is(true));
     table.onHeartbeat(heartbeat("b", "z", 1, true), 1_500);
-    assertThat(table.isTaking("a"), is(false));
+    assertThat(table.isAccepting("a"), is(false));
   }
 
   @Test
   void aNodeWithALongIntervalIsDeadOnlyAfterSeveralMissingHeartbeats() {
     table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
     table.onHeartbeat(heartbeat("b", "z", 1, true), 3_100);
-    assertThat(table.isTaking("a"), is(true));
+    assertThat(table.isAccepting("a"), is(true));
     table.onHeartbeat(heartbeat("b", "z", 1, true), 3_200);
-    assertThat(table.isTaking("a"), is(false));
+    assertThat(table.isAccepting("a"), is(false));
   }
 
   @Test
@@ -41,7 +41,7 @@
     table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 1_000, 0, 0), 0);
     table.onHeartbeat(new MemberBeat("a", "a:1", "z", 1, true, 0, 400, 0, 0), 100);
     table.onHeartbeat(heartbeat("b", "z", 1, true), 1_600);
-    assertThat(table.isTaking("a"), is(false));
+    assertThat(table.isAccepting("a"), is(false));
   }
 
   private static MemberBeat busyHeartbeat(String node, long incarnation) {
@@ -86,9 +86,9 @@
     table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(table.isFleetLost(), is(true));
     table.forgetLost();
-    assertThat(table.isTaking("first"), is(true));
-    assertThat(table.isTaking("n3", 2), is(true));
-    assertThat(table.isTaking("n13"), is(false));
+    assertThat(table.isAccepting("first"), is(true));
+    assertThat(table.isAccepting("n3", 2), is(true));
+    assertThat(table.isAccepting("n13"), is(false));
   }
 
   @Test
@@ -238,7 +238,7 @@
     table.onHeartbeat(heartbeat("b", "z", 1, true), 100);
     // Nothing is read for a minute, then the first beat of one node.
     table.onHeartbeat(heartbeat("a", "z", 1, true), 60_000);
-    assertThat(table.isTaking("a"), is(true));
+    assertThat(table.isAccepting("a"), is(true));
   }
 
   @Test
@@ -298,7 +298,7 @@
   void aLateHeartbeatOfAnEarlierIncarnationIsIgnored() {
     table.onHeartbeat(heartbeat("a", "z", 2, true), 0);
     table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
-    assertThat(table.isTaking("a"), is(true));
+    assertThat(table.isAccepting("a"), is(true));
   }
 
   @Test
@@ -307,7 +307,7 @@
     table.onHeartbeat(heartbeat("b", "z", 1, true), 2_000);
     table.onHeartbeat(heartbeat("a", "z", 3, false), 2_001);
     table.onHeartbeat(heartbeat("a", "z", 3, true), 2_002);
-    assertThat(table.isTaking("a"), is(true));
+    assertThat(table.isAccepting("a"), is(true));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -188,7 +188,7 @@
   /** Returns whether this decision can be skipped: another live node holds the lease. */
   private boolean isOnStandby(long nowMillis) {
     return !lease.isHolder()
-        && members.heartbeats().isTaking(lease.holder(), lease.holderIncarnation())
+        && members.heartbeats().isAccepting(lease.holder(), lease.holderIncarnation())
         && nowMillis - lastDecisionMillis < STANDBY_DECISION_INTERVAL_MILLIS;
   }
 
@@ -209,7 +209,7 @@
     boolean needed = mayClaim && duties.stream().anyMatch(duty -> duty.isNeeded(now));
     HeartbeatTable heartbeats = members.heartbeats();
     boolean holderAlive =
-        heartbeats.isTaking(lease.holder(), lease.holderIncarnation())
+        heartbeats.isAccepting(lease.holder(), lease.holderIncarnation())
             || (lease.isFresh(now)
                 && !heartbeats.isOver(lease.holder(), lease.holderIncarnation()));
     lease.next(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
@@ -227,7 +227,7 @@
     if (lease.holder().equals(node)) {
       return 0;
     }
-    int behindHolder = members.heartbeats().isTaking(lease.holder()) ? 1 : 0;
+    int behindHolder = members.heartbeats().isAccepting(lease.holder()) ? 1 : 0;
     return behindHolder + members.heartbeats().rankByYouth(node);
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -70,7 +70,7 @@
     timers.advance(300);
     assertThat(fleetLostCalls, equalTo(1));
     assertThat(agent.isMembershipKnown(), is(true));
-    assertThat(agent.heartbeats().isTaking("old3"), is(false));
+    assertThat(agent.heartbeats().isAccepting("old3"), is(false));
     passStartup();
     assertThat(fleetLostCalls, equalTo(1));
   }
@@ -95,7 +95,7 @@
     }
     timers.advance(1_000);
     assertThat(fleetLostCalls, equalTo(0));
-    assertThat(agent.heartbeats().isTaking("old3"), is(true));
+    assertThat(agent.heartbeats().isAccepting("old3"), is(true));
   }
 
   @Test
@@ -108,7 +108,7 @@
     }
     timers.advance(300);
     assertThat(agent.isLivenessUnknown(), is(false));
-    assertThat(agent.heartbeats().isTaking("old3"), is(true));
+    assertThat(agent.heartbeats().isAccepting("old3"), is(true));
   }
 
   @Test
@@ -138,7 +138,7 @@
     assertThat(heartbeatsWithin(10_000), equalTo(10));
     assertThat(newestHeartbeat().periodMillis(), equalTo(1_000L));
     assertThat(agent.isLogReachable(), is(true));
-    assertThat(agent.heartbeats().isTaking("n"), is(true));
+    assertThat(agent.heartbeats().isAccepting("n"), is(true));
   }
 
   @Test
