--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -124,7 +124,7 @@
   /** Returns whether a run's owner is known to have left or restarted. */
   public boolean isOwnerGone(String run, HeartbeatTable beats) {
     RunClaimed owner = owners.get(run);
-    return owner != null && beats.isOver(owner.node(), owner.incarnation());
+    return owner != null && beats.hasEnded(owner.node(), owner.incarnation());
   }
 
   /**
@@ -156,6 +156,6 @@
   private boolean isOwnerAlive(RunClaimed owner, HeartbeatTable beats, long nowMillis) {
     boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
     return beats.isAccepting(owner.node(), owner.incarnation())
-        || (isNewOwner && !beats.isOver(owner.node(), owner.incarnation()));
+        || (isNewOwner && !beats.hasEnded(owner.node(), owner.incarnation()));
   }
 }
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -175,7 +175,7 @@
    * Returns whether an incarnation of a node is leaving or was replaced by a later one; false if
    * the incarnation is later than the newest one read.
    */
-  public boolean isOver(String node, long incarnation) {
+  public boolean hasEnded(String node, long incarnation) {
     LatestHeartbeat latest = members.get(node);
     if (latest == null || latest.heartbeat().incarnation() < incarnation) {
       return false;
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -284,14 +284,14 @@
 
   @Test
   void anIncarnationHasEndedOnceItLeavesOrIsReplaced() {
-    assertThat(table.isOver("a", 1), is(false));
+    assertThat(table.hasEnded("a", 1), is(false));
     table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
-    assertThat(table.isOver("a", 1), is(false));
+    assertThat(table.hasEnded("a", 1), is(false));
     table.onHeartbeat(heartbeat("a", "z", 1, false), 10);
-    assertThat(table.isOver("a", 1), is(true));
+    assertThat(table.hasEnded("a", 1), is(true));
     table.onHeartbeat(heartbeat("a", "z", 2, true), 20);
-    assertThat(table.isOver("a", 1), is(true));
-    assertThat(table.isOver("a", 2), is(false));
+    assertThat(table.hasEnded("a", 1), is(true));
+    assertThat(table.hasEnded("a", 2), is(false));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -211,7 +211,7 @@
     boolean holderAlive =
         heartbeats.isAccepting(lease.holder(), lease.holderIncarnation())
             || (lease.isFresh(now)
-                && !heartbeats.isOver(lease.holder(), lease.holderIncarnation()));
+                && !heartbeats.hasEnded(lease.holder(), lease.holderIncarnation()));
     lease.next(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
     if (lease.mayAct(now)) {
       duties.forEach(duty -> duty.act(now));
