--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -188,7 +188,7 @@
    * started; the last rank if the node is unknown. During a rolling restart the most recently
    * started node stays the longest.
    */
-  public int rankByYouth(String node) {
+  public int rankByStartTime(String node) {
     LargeNodes largeNodes = LargeNodes.among(acceptingNodes());
     List<MemberBeat> ranked =
         acceptingNodes().stream()
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -323,9 +323,9 @@
   void theMostRecentlyStartedNodeRanksFirst() {
     table.onHeartbeat(heartbeat("a", "z", 3, true), 0);
     table.onHeartbeat(heartbeat("b", "z", 9, true), 0);
-    assertThat(table.rankByYouth("b"), is(0));
-    assertThat(table.rankByYouth("a"), is(1));
-    assertThat(table.rankByYouth("c"), is(2));
+    assertThat(table.rankByStartTime("b"), is(0));
+    assertThat(table.rankByStartTime("a"), is(1));
+    assertThat(table.rankByStartTime("c"), is(2));
   }
 
   @Test
--- a/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
+++ b/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
@@ -51,8 +51,8 @@
   @Test
   void dutiesGoToTheMostRecentlyStartedLargeNode() {
     sendAllHeartbeats();
-    assertThat(table.rankByYouth("strong" + (LARGE_NODES - 1)), equalTo(0));
-    assertThat(table.rankByYouth("weak" + (SMALL_NODES - 1)), equalTo(LARGE_NODES));
+    assertThat(table.rankByStartTime("strong" + (LARGE_NODES - 1)), equalTo(0));
+    assertThat(table.rankByStartTime("weak" + (SMALL_NODES - 1)), equalTo(LARGE_NODES));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -228,7 +228,7 @@
       return 0;
     }
     int behindHolder = members.heartbeats().isAccepting(lease.holder()) ? 1 : 0;
-    return behindHolder + members.heartbeats().rankByYouth(node);
+    return behindHolder + members.heartbeats().rankByStartTime(node);
   }
 
   /** Appends a record to the duty stream; it takes effect when it is read back. */
