--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -139,7 +139,7 @@
       return Optional.empty();
     }
     long sinceMillis = ownerlessSinceMillis.computeIfAbsent(run, name -> nowMillis);
-    long delayMillis = beats.rankOf(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
+    long delayMillis = beats.rankForKey(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
     Long lastClaimMillis = claimedAtMillis.get(run);
     boolean isClaimPending =
         lastClaimMillis != null && nowMillis - lastClaimMillis < CLAIM_RETRY_MILLIS;
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -209,7 +209,7 @@
    * Returns the rank of a node among the candidates for a key, from zero; the last rank if the node
    * is unknown.
    */
-  public int rankOf(String key, String node) {
+  public int rankForKey(String key, String node) {
     List<Member> ranked = rank(key);
     for (int position = 0; position < ranked.size(); position++) {
       if (ranked.get(position).name().equals(node)) {
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -22,7 +22,7 @@
   }
 
   private String firstCandidate(String run) {
-    return beats.rankOf("run/" + run, "a") == 0 ? "a" : "b";
+    return beats.rankForKey("run/" + run, "a") == 0 ? "a" : "b";
   }
 
   private String runWithFirstCandidate(String node) {
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -205,9 +205,9 @@
     // Old nodes that still count as alive change nothing while they are few.
     table.onHeartbeat(busyHeartbeat("old", 1), 1_700);
     for (int key = 0; key < 20; key++) {
-      assertThat(table.rankOf("key" + key, "self") < 8, is(true));
-      assertThat(table.rankOf("key" + key, "late19") < 8, is(false));
-      assertThat(table.rankOf("key" + key, "old") < 8, is(false));
+      assertThat(table.rankForKey("key" + key, "self") < 8, is(true));
+      assertThat(table.rankForKey("key" + key, "late19") < 8, is(false));
+      assertThat(table.rankForKey("key" + key, "old") < 8, is(false));
     }
     for (int i = 0; i < 20; i++) {
       table.onHeartbeat(recentHeartbeat("late" + i, 2, 5_000), 6_000);
@@ -225,7 +225,7 @@
 
   private boolean isEverFirst(String node) {
     for (int key = 0; key < 200; key++) {
-      if (table.rankOf("key" + key, node) == 0) {
+      if (table.rankForKey("key" + key, node) == 0) {
         return true;
       }
     }
@@ -336,10 +336,10 @@
     List<String> byRank =
         table.acceptingNodes().stream()
             .map(MemberBeat::node)
-            .sorted(Comparator.comparing(node -> table.rankOf("run/m", node)))
+            .sorted(Comparator.comparing(node -> table.rankForKey("run/m", node)))
             .toList();
     table.onHeartbeat(heartbeat(byRank.get(0), "z", 1, false), 10);
-    assertThat(table.rankOf("run/m", byRank.get(1)), is(0));
-    assertThat(table.rankOf("run/m", byRank.get(2)), is(1));
+    assertThat(table.rankForKey("run/m", byRank.get(1)), is(0));
+    assertThat(table.rankForKey("run/m", byRank.get(2)), is(1));
   }
 }
--- a/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
+++ b/core/src/test/java/org/passhaven/core/member/LargeNodesTest.java
@@ -43,7 +43,7 @@
     sendAllHeartbeats();
     for (int key = 0; key < 200; key++) {
       for (int i = 0; i < LARGE_NODES; i++) {
-        assertThat(table.rankOf("run" + key, "strong" + i), lessThan(LARGE_NODES));
+        assertThat(table.rankForKey("run" + key, "strong" + i), lessThan(LARGE_NODES));
       }
     }
   }
@@ -85,7 +85,8 @@
     for (int key = 0; key < 100; key++) {
       for (int i = 0; i < 12; i++) {
         assertThat(
-            table.rankOf("run" + key, "n" + i), equalTo(withoutCores.rankOf("run" + key, "n" + i)));
+            table.rankForKey("run" + key, "n" + i),
+            equalTo(withoutCores.rankForKey("run" + key, "n" + i)));
       }
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -161,7 +161,7 @@
       for (int index = 0; index < tails.size(); index++) {
         String node = context.settings().node();
         standbyPartitions.set(
-            index, heartbeats.rankOf(STREAM_PREFIX + index, node) < STANDBY_NODES);
+            index, heartbeats.rankForKey(STREAM_PREFIX + index, node) < STANDBY_NODES);
       }
     }
     return standbyPartitions.get(partition);
--- a/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
@@ -58,7 +58,7 @@
     if (beats.acceptingNodes().isEmpty()) {
       return context.randomBelow().applyAsInt(MAX_START_DELAY_MILLIS);
     }
-    int rank = beats.rankOf(stream, context.settings().node());
+    int rank = beats.rankForKey(stream, context.settings().node());
     return rank == 0
         ? 0
         : Math.min(
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -36,7 +36,7 @@
 
   private String runWithFirstCandidate(String node) {
     for (int i = 0; ; i++) {
-      if (beats.rankOf(log.streamOf("run" + i), node) == 0) {
+      if (beats.rankForKey(log.streamOf("run" + i), node) == 0) {
         return "run" + i;
       }
     }
