--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -120,7 +120,7 @@
   }
 
   /** Removes the nodes that have not sent a heartbeat since the fleet was lost. */
-  public void forgetLost() {
+  public void removeLostNodes() {
     int lostBefore = lossDetector.firstPositionAfterLoss().orElse(0);
     members.values().removeIf(latest -> latest.position() < lostBefore);
     acceptingNodes = null;
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -85,7 +85,7 @@
     table.onHeartbeat(recentHeartbeat("first", 9, 520), 1_000);
     table.onHeartbeat(recentHeartbeat("self", 9, 1), 1_000);
     assertThat(table.isFleetLost(), is(true));
-    table.forgetLost();
+    table.removeLostNodes();
     assertThat(table.isAccepting("first"), is(true));
     assertThat(table.isAccepting("n3", 2), is(true));
     assertThat(table.isAccepting("n13"), is(false));
@@ -102,7 +102,7 @@
       table.onHeartbeat(recentHeartbeat("back" + i, 9, 501), 1_510);
     }
     assertThat(table.isFleetLost(), is(true));
-    table.forgetLost();
+    table.removeLostNodes();
     assertThat(table.acceptingNodes(), hasSize(19));
   }
 
@@ -190,7 +190,7 @@
     }
     table.onHeartbeat(recentHeartbeat("self", 9, 501), 1_510);
     assertThat(table.isFleetLost(), is(true));
-    table.forgetLost();
+    table.removeLostNodes();
     assertThat(
         table.acceptingNodes().stream().map(MemberBeat::node).toList(),
         containsInAnyOrder("n0", "n1", "n2", "self"));
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -304,7 +304,7 @@
       isFleetLost = true;
       context.metrics().fleetLosses.increment();
       int before = heartbeats.acceptingNodes().size();
-      heartbeats.forgetLost();
+      heartbeats.removeLostNodes();
       LOG.atInfo()
           .addKeyValue("before", before)
           .addKeyValue("live", heartbeats.acceptingNodes().size())
