--- a/core/src/main/java/org/passhaven/core/order/LoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
@@ -8,8 +8,8 @@
  * @param minAtOnce number of servers that may always load, at least 1
  * @param shareAtOnce fraction of the service's servers that may load, from 0 to 1
  */
-public record LoadLimit(int minAtOnce, double shareAtOnce) {
-  public LoadLimit {
+public record ConcurrentLoadLimit(int minAtOnce, double shareAtOnce) {
+  public ConcurrentLoadLimit {
     if (minAtOnce < 1) {
       throw new IllegalArgumentException("minAtOnce must be at least 1, not " + minAtOnce);
     }
--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
@@ -23,14 +23,14 @@
   /** A version of a model's weights that a server is to load. */
   public record Wanted(ServerEntry server, String model, long version) {}
 
-  private final LoadLimit limit;
+  private final ConcurrentLoadLimit limit;
   private final Map<ServerIncarnation, Wanted> loading = new TreeMap<>();
   private final Map<ServerIncarnation, Long> notBeforeMillis = new HashMap<>();
   private final Map<ServerIncarnation, Long> unreachableUntilMillis = new HashMap<>();
   private final WeightPlacement placement = new WeightPlacement(ServerEntry::versionOf);
 
   /** Creates a planner with a limit on the concurrent loads of a service. */
-  public VersionOrderPlanner(LoadLimit limit) {
+  public VersionOrderPlanner(ConcurrentLoadLimit limit) {
     this.limit = Objects.requireNonNull(limit, "limit");
   }
 
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.order.LoadLimit;
+import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.core.order.VersionOrderPlanner;
 import org.passhaven.core.order.VersionOrderPlanner.Wanted;
 import org.passhaven.core.order.WeightDemand;
@@ -53,7 +53,8 @@
   private final Random random;
   private final Map<String, FakeModelServer> servers = new TreeMap<>();
   private final List<SimulatedOwner> owners = new ArrayList<>();
-  private final VersionOrderPlanner planner = new VersionOrderPlanner(new LoadLimit(2, 0.3));
+  private final VersionOrderPlanner planner =
+      new VersionOrderPlanner(new ConcurrentLoadLimit(2, 0.3));
   final Map<String, AnnouncedVersion> announcedVersions = new HashMap<>();
   private final boolean loadsWeights;
   private long now;
--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
@@ -14,7 +14,8 @@
 import org.passhaven.core.backend.ServerIncarnation;
 
 class VersionOrderPlannerTest {
-  private final VersionOrderPlanner planner = new VersionOrderPlanner(new LoadLimit(2, 0.3));
+  private final VersionOrderPlanner planner =
+      new VersionOrderPlanner(new ConcurrentLoadLimit(2, 0.3));
 
   private static ServerEntry server(String name, long m, long n) {
     return new ServerEntry(
--- a/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewaySettings.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import org.passhaven.core.duty.DutyLease;
-import org.passhaven.core.order.LoadLimit;
+import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.core.usage.UsageSettings;
 
 /**
@@ -36,7 +36,7 @@
     Duration heartbeatTimeout,
     Duration decisionInterval,
     DutyLease.Settings lease,
-    LoadLimit loadLimit,
+    ConcurrentLoadLimit loadLimit,
     Duration propagationLimit,
     Duration jobRetention,
     int maxRecordBytes,
--- a/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
+++ b/node/src/test/java/org/passhaven/node/gateway/GatewayFixture.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.duty.DutyLease;
-import org.passhaven.core.order.LoadLimit;
+import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.core.route.RouteTable;
 import org.passhaven.spi.BackEndService;
 import org.passhaven.spi.TableService;
@@ -34,7 +34,7 @@
         Duration.ofMillis(1_500),
         Duration.ofMillis(100),
         new DutyLease.Settings(1_000, 3_000, 3_000, 2_000, 400, 75_000),
-        new LoadLimit(2, 0.3),
+        new ConcurrentLoadLimit(2, 0.3),
         Duration.ofSeconds(2),
         Duration.ofSeconds(150),
         maxRecordBytes,
--- a/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayWorld.java
+++ b/simulator/src/main/java/org/passhaven/simulator/gateway/GatewayWorld.java
@@ -10,7 +10,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.passhaven.core.duty.DutyLease;
-import org.passhaven.core.order.LoadLimit;
+import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.core.usage.UsageSettings;
 import org.passhaven.node.gateway.GatewaySettings;
 import org.passhaven.protocol.job.JobSubmission;
@@ -145,7 +145,7 @@
             Duration.ofMillis(1_600),
             Duration.ofMillis(100),
             new DutyLease.Settings(1_000, HAND_OVER_MILLIS, RELEASED_MILLIS, 2_000, 400, 75_000),
-            new LoadLimit(2, 0.3),
+            new ConcurrentLoadLimit(2, 0.3),
             inForce,
             Duration.ofSeconds(150),
             262_144,
--- a/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
+++ b/simulator/src/test/java/org/passhaven/simulator/gateway/FleetHistoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.duty.DutyLease;
 import org.passhaven.core.member.HeartbeatTable;
-import org.passhaven.core.order.LoadLimit;
+import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.node.gateway.GatewayContext;
 import org.passhaven.node.gateway.GatewayMetrics;
 import org.passhaven.node.gateway.GatewaySettings;
@@ -106,7 +106,7 @@
             Duration.ofMillis(1_600),
             Duration.ofMillis(100),
             new DutyLease.Settings(1_000, 4_200, 3_100, 2_000, 400, 75_000),
-            new LoadLimit(2, 0.3),
+            new ConcurrentLoadLimit(2, 0.3),
             Duration.ofSeconds(2),
             Duration.ofSeconds(150),
             262_144,
