--- a/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
@@ -5,13 +5,13 @@
  * new work while it loads, and concurrent loads slow each other down; with too few of them, the
  * last server of a large service gets a version late.
  *
- * @param minAtOnce number of servers that may always load, at least 1
+ * @param minConcurrentLoads number of servers that may always load, at least 1
  * @param shareAtOnce fraction of the service's servers that may load, from 0 to 1
  */
-public record ConcurrentLoadLimit(int minAtOnce, double shareAtOnce) {
+public record ConcurrentLoadLimit(int minConcurrentLoads, double shareAtOnce) {
   public ConcurrentLoadLimit {
-    if (minAtOnce < 1) {
-      throw new IllegalArgumentException("minAtOnce must be at least 1, not " + minAtOnce);
+    if (minConcurrentLoads < 1) {
+      throw new IllegalArgumentException("minAtOnce must be at least 1, not " + minConcurrentLoads);
     }
     if (!(shareAtOnce >= 0 && shareAtOnce <= 1)) {
       throw new IllegalArgumentException("shareAtOnce must be from 0 to 1, not " + shareAtOnce);
@@ -23,6 +23,6 @@
    * servers.
    */
   public int of(long servers) {
-    return (int) Math.max(minAtOnce, Math.floor(servers * shareAtOnce));
+    return (int) Math.max(minConcurrentLoads, Math.floor(servers * shareAtOnce));
   }
 }
