--- a/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
@@ -6,15 +6,15 @@
  * last server of a large service gets a version late.
  *
  * @param minConcurrentLoads number of servers that may always load, at least 1
- * @param shareAtOnce fraction of the service's servers that may load, from 0 to 1
+ * @param maxServerShare fraction of the service's servers that may load, from 0 to 1
  */
-public record ConcurrentLoadLimit(int minConcurrentLoads, double shareAtOnce) {
+public record ConcurrentLoadLimit(int minConcurrentLoads, double maxServerShare) {
   public ConcurrentLoadLimit {
     if (minConcurrentLoads < 1) {
       throw new IllegalArgumentException("minAtOnce must be at least 1, not " + minConcurrentLoads);
     }
-    if (!(shareAtOnce >= 0 && shareAtOnce <= 1)) {
-      throw new IllegalArgumentException("shareAtOnce must be from 0 to 1, not " + shareAtOnce);
+    if (!(maxServerShare >= 0 && maxServerShare <= 1)) {
+      throw new IllegalArgumentException("shareAtOnce must be from 0 to 1, not " + maxServerShare);
     }
   }
 
@@ -23,6 +23,6 @@
    * servers.
    */
   public int of(long servers) {
-    return (int) Math.max(minConcurrentLoads, Math.floor(servers * shareAtOnce));
+    return (int) Math.max(minConcurrentLoads, Math.floor(servers * maxServerShare));
   }
 }
