--- a/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
@@ -22,7 +22,7 @@
    * Returns the number of servers that may load concurrently in a service of {@code servers}
    * servers.
    */
-  public int of(long servers) {
+  public int maxConcurrentLoads(long servers) {
     return (int) Math.max(minConcurrentLoads, Math.floor(servers * maxServerShare));
   }
 }
--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
@@ -100,7 +100,7 @@
         loading.values().stream()
             .filter(load -> load.server().service().equals(server.service()))
             .count();
-    return loadingInService < limit.of(serversInService)
+    return loadingInService < limit.maxConcurrentLoads(serversInService)
         && nowMillis >= notBeforeMillis.getOrDefault(server.incarnation(), Long.MIN_VALUE);
   }
 
