--- a/core/src/main/java/org/passhaven/core/order/VersionOrderPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -19,7 +19,7 @@
  * model whose newest version is on the fewest servers goes first. Times are in monotonic
  * milliseconds. Not thread-safe.
  */
-public final class VersionOrderPlanner {
+public final class WeightLoadPlanner {
   /** A version of a model's weights that a server is to load. */
   public record Wanted(ServerEntry server, String model, long version) {}
 
@@ -30,7 +30,7 @@
   private final WeightPlacement placement = new WeightPlacement(ServerEntry::versionOf);
 
   /** Creates a planner with a limit on the concurrent loads of a service. */
-  public VersionOrderPlanner(ConcurrentLoadLimit limit) {
+  public WeightLoadPlanner(ConcurrentLoadLimit limit) {
     this.limit = Objects.requireNonNull(limit, "limit");
   }
 
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.order.ConcurrentLoadLimit;
-import org.passhaven.core.order.VersionOrderPlanner;
-import org.passhaven.core.order.VersionOrderPlanner.Wanted;
 import org.passhaven.core.order.WeightDemand;
+import org.passhaven.core.order.WeightLoadPlanner;
+import org.passhaven.core.order.WeightLoadPlanner.Wanted;
 
 /**
  * Discrete-event simulation of several runs on one set of model servers, in virtual time. Each run
@@ -53,8 +53,7 @@
   private final Random random;
   private final Map<String, FakeModelServer> servers = new TreeMap<>();
   private final List<SimulatedOwner> owners = new ArrayList<>();
-  private final VersionOrderPlanner planner =
-      new VersionOrderPlanner(new ConcurrentLoadLimit(2, 0.3));
+  private final WeightLoadPlanner planner = new WeightLoadPlanner(new ConcurrentLoadLimit(2, 0.3));
   final Map<String, AnnouncedVersion> announcedVersions = new HashMap<>();
   private final boolean loadsWeights;
   private long now;
--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
@@ -14,8 +14,7 @@
 import org.passhaven.core.backend.ServerIncarnation;
 
 class VersionOrderPlannerTest {
-  private final VersionOrderPlanner planner =
-      new VersionOrderPlanner(new ConcurrentLoadLimit(2, 0.3));
+  private final WeightLoadPlanner planner = new WeightLoadPlanner(new ConcurrentLoadLimit(2, 0.3));
 
   private static ServerEntry server(String name, long m, long n) {
     return new ServerEntry(
@@ -26,7 +25,7 @@
     return new WeightDemand(newest, Map.of());
   }
 
-  private static List<String> names(List<VersionOrderPlanner.Wanted> loads) {
+  private static List<String> names(List<WeightLoadPlanner.Wanted> loads) {
     return loads.stream()
         .map(load -> load.server().incarnation().id() + " " + load.model() + " " + load.version())
         .toList();
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -4,9 +4,9 @@
 import java.util.Objects;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerIncarnation;
-import org.passhaven.core.order.VersionOrderPlanner;
-import org.passhaven.core.order.VersionOrderPlanner.Wanted;
 import org.passhaven.core.order.WeightDemand;
+import org.passhaven.core.order.WeightLoadPlanner;
+import org.passhaven.core.order.WeightLoadPlanner.Wanted;
 import org.passhaven.protocol.duty.DutyRecord;
 import org.passhaven.spi.BackEndService.Order;
 import org.passhaven.spi.BackEndService.OrderOutcome;
@@ -32,7 +32,7 @@
   private final PlatformDirectory directory;
   private final JobLog jobs;
   private final DutyAgent duties;
-  private final VersionOrderPlanner planner;
+  private final WeightLoadPlanner planner;
 
   /** Creates the duty and adds it to the agent. */
   VersionOrderDuty(
@@ -41,7 +41,7 @@
     this.directory = Objects.requireNonNull(directory, "directory");
     this.jobs = Objects.requireNonNull(jobs, "jobs");
     this.duties = Objects.requireNonNull(duties, "duties");
-    this.planner = new VersionOrderPlanner(context.settings().loadLimit());
+    this.planner = new WeightLoadPlanner(context.settings().loadLimit());
     directory.addListener(duties::decide);
     duties.add(this);
   }
