--- a/core/src/test/java/org/passhaven/core/order/VersionOrderPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
@@ -13,7 +13,7 @@
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerIncarnation;
 
-class VersionOrderPlannerTest {
+class WeightLoadPlannerTest {
   private final WeightLoadPlanner planner = new WeightLoadPlanner(new ConcurrentLoadLimit(2, 0.3));
 
   private static ServerEntry server(String name, long m, long n) {
