--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -21,10 +21,10 @@
  */
 public final class WeightLoadPlanner {
   /** A version of a model's weights that a server is to load. */
-  public record Wanted(ServerEntry server, String model, long version) {}
+  public record WeightLoad(ServerEntry server, String model, long version) {}
 
   private final ConcurrentLoadLimit limit;
-  private final Map<ServerIncarnation, Wanted> loading = new TreeMap<>();
+  private final Map<ServerIncarnation, WeightLoad> loading = new TreeMap<>();
   private final Map<ServerIncarnation, Long> notBeforeMillis = new HashMap<>();
   private final Map<ServerIncarnation, Long> unreachableUntilMillis = new HashMap<>();
   private final WeightPlacement placement = new WeightPlacement(ServerEntry::versionOf);
@@ -35,7 +35,8 @@
   }
 
   /** Returns all loads that are due and not in progress. */
-  public List<Wanted> due(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
+  public List<WeightLoad> due(
+      Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     List<ServerEntry> reachable =
         servers.stream()
             .filter(
@@ -46,12 +47,12 @@
             .toList();
     Map<ServerIncarnation, Set<String>> placed =
         placement.place(reachable, demand.newestVersions().keySet(), demand.openItems());
-    List<Wanted> due = new ArrayList<>();
+    List<WeightLoad> due = new ArrayList<>();
     for (ServerEntry server : reachable) {
       for (String model : new TreeSet<>(placed.getOrDefault(server.incarnation(), Set.of()))) {
         long version = demand.newestVersions().get(model);
         if (server.versionOf(model) < version && !loading.containsKey(server.incarnation())) {
-          due.add(new Wanted(server, model, version));
+          due.add(new WeightLoad(server, model, version));
         }
       }
     }
@@ -67,24 +68,25 @@
    * Starts the loads that are due and allowed now, and returns them. They count as in progress
    * until {@link #onDone} or {@link #onFailed}.
    */
-  public List<Wanted> begin(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
+  public List<WeightLoad> begin(
+      Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     removeExpired(nowMillis);
     loading
         .keySet()
         .removeIf(start -> servers.stream().noneMatch(s -> s.incarnation().equals(start)));
-    List<Wanted> started = new ArrayList<>();
+    List<WeightLoad> started = new ArrayList<>();
     while (true) {
-      List<Wanted> due =
+      List<WeightLoad> due =
           due(servers, demand, nowMillis).stream()
               .filter(load -> mayStart(load.server(), servers, nowMillis))
               .toList();
       if (due.isEmpty()) {
         return started;
       }
-      Wanted next =
+      WeightLoad next =
           due.stream()
               .min(
-                  Comparator.comparingLong((Wanted load) -> countLoadedOrLoading(servers, load))
+                  Comparator.comparingLong((WeightLoad load) -> countLoadedOrLoading(servers, load))
                       .thenComparing(load -> load.server().versionOf(load.model()))
                       .thenComparing(load -> load.server().incarnation()))
               .orElseThrow();
@@ -105,7 +107,7 @@
   }
 
   /** Returns the number of servers that have the version or are loading it. */
-  private long countLoadedOrLoading(Collection<ServerEntry> servers, Wanted load) {
+  private long countLoadedOrLoading(Collection<ServerEntry> servers, WeightLoad load) {
     long loadedCount =
         servers.stream().filter(server -> server.versionOf(load.model()) >= load.version()).count();
     long loadingCount =
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -12,7 +12,7 @@
 import org.passhaven.core.order.ConcurrentLoadLimit;
 import org.passhaven.core.order.WeightDemand;
 import org.passhaven.core.order.WeightLoadPlanner;
-import org.passhaven.core.order.WeightLoadPlanner.Wanted;
+import org.passhaven.core.order.WeightLoadPlanner.WeightLoad;
 
 /**
  * Discrete-event simulation of several runs on one set of model servers, in virtual time. Each run
@@ -175,7 +175,7 @@
     announcedVersions.forEach((model, version) -> newest.put(model, version.version()));
     Map<String, Integer> openItems = new HashMap<>();
     owners.forEach(owner -> openItems.put(owner.model, owner.openItems()));
-    for (Wanted order : planner.begin(entries(), new WeightDemand(newest, openItems), now)) {
+    for (WeightLoad order : planner.begin(entries(), new WeightDemand(newest, openItems), now)) {
       FakeModelServer server = server(order.server().incarnation().id());
       server.beginLoad(order.model());
       loads++;
--- a/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
@@ -25,7 +25,7 @@
     return new WeightDemand(newest, Map.of());
   }
 
-  private static List<String> names(List<WeightLoadPlanner.Wanted> loads) {
+  private static List<String> names(List<WeightLoadPlanner.WeightLoad> loads) {
     return loads.stream()
         .map(load -> load.server().incarnation().id() + " " + load.model() + " " + load.version())
         .toList();
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -6,7 +6,7 @@
 import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.order.WeightDemand;
 import org.passhaven.core.order.WeightLoadPlanner;
-import org.passhaven.core.order.WeightLoadPlanner.Wanted;
+import org.passhaven.core.order.WeightLoadPlanner.WeightLoad;
 import org.passhaven.protocol.duty.DutyRecord;
 import org.passhaven.spi.BackEndService.Order;
 import org.passhaven.spi.BackEndService.OrderOutcome;
@@ -83,7 +83,7 @@
   }
 
   /** Reads a server's report, then orders the version if the server needs it. */
-  private void checkServer(Wanted wanted) {
+  private void checkServer(WeightLoad wanted) {
     context
         .backEnds()
         .report(ServerTargets.of(wanted.server()), CALL_TIMEOUT_MILLIS)
@@ -91,7 +91,7 @@
         .with(report -> onReport(wanted, report), failure -> onUnreachable(wanted, failure));
   }
 
-  private void onReport(Wanted wanted, Report report) {
+  private void onReport(WeightLoad wanted, Report report) {
     if (isOfOtherIncarnation(wanted, report)) {
       retryLater(wanted, "the server has restarted");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
@@ -104,11 +104,11 @@
   }
 
   /** Returns whether the report is of another incarnation of the server. */
-  private static boolean isOfOtherIncarnation(Wanted wanted, Report report) {
+  private static boolean isOfOtherIncarnation(WeightLoad wanted, Report report) {
     return report.startMillis() != wanted.server().incarnation().startMillis();
   }
 
-  private void order(Wanted wanted, long sequence) {
+  private void order(WeightLoad wanted, long sequence) {
     if (!duties.mayAct()) {
       retryLater(wanted, "the duty lease is not valid");
       return;
@@ -140,7 +140,7 @@
             });
   }
 
-  private void onOrdered(Wanted wanted, OrderOutcome outcome) {
+  private void onOrdered(WeightLoad wanted, OrderOutcome outcome) {
     if (outcome == OrderOutcome.IN_EFFECT) {
       onVersionReached(wanted);
     } else if (outcome == OrderOutcome.STARTED) {
@@ -152,7 +152,7 @@
   }
 
   /** Polls the server until it has loaded the version or the time limit has passed. */
-  private void pollLoad(Wanted wanted, long deadlineMillis) {
+  private void pollLoad(WeightLoad wanted, long deadlineMillis) {
     ServerEntry entry = directory.servers().get(wanted.server().incarnation());
     if (entry != null && entry.versionOf(wanted.model()) >= wanted.version()) {
       onVersionReached(wanted);
@@ -174,7 +174,7 @@
                     .after(POLL_INTERVAL_MILLIS, () -> pollLoad(wanted, deadlineMillis)));
   }
 
-  private void onLoadReport(Wanted wanted, Report report, long deadlineMillis) {
+  private void onLoadReport(WeightLoad wanted, Report report, long deadlineMillis) {
     if (isOfOtherIncarnation(wanted, report)) {
       retryLater(wanted, "the server restarted during the load");
     } else if (report.versions().getOrDefault(wanted.model(), 0L) >= wanted.version()) {
@@ -184,7 +184,7 @@
     }
   }
 
-  private void onVersionReached(Wanted wanted) {
+  private void onVersionReached(WeightLoad wanted) {
     ServerIncarnation server = wanted.server().incarnation();
     directory.onVersionLoaded(server, wanted.model(), wanted.version());
     duties.append(
@@ -200,18 +200,18 @@
     duties.decide();
   }
 
-  private void onUnreachable(Wanted wanted, Throwable failure) {
+  private void onUnreachable(WeightLoad wanted, Throwable failure) {
     logNotDone(wanted, failure.getMessage());
     planner.onUnreachable(
         wanted.server().incarnation(), context.nowMillis() + UNREACHABLE_RETRY_DELAY_MILLIS);
   }
 
-  private void retryLater(Wanted wanted, String reason) {
+  private void retryLater(WeightLoad wanted, String reason) {
     logNotDone(wanted, reason);
     planner.onFailed(wanted.server().incarnation(), context.nowMillis() + RETRY_DELAY_MILLIS);
   }
 
-  private static void logNotDone(Wanted wanted, String reason) {
+  private static void logNotDone(WeightLoad wanted, String reason) {
     LOG.atInfo()
         .addKeyValue("server", wanted.server().incarnation())
         .addKeyValue("model", wanted.model())
