--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -35,7 +35,7 @@
   }
 
   /** Returns all loads that are due and not in progress. */
-  public List<WeightLoad> due(
+  public List<WeightLoad> dueLoads(
       Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     List<ServerEntry> reachable =
         servers.stream()
@@ -61,7 +61,7 @@
 
   /** Returns whether a load is due or in progress. */
   public boolean isNeeded(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
-    return !loading.isEmpty() || !due(servers, demand, nowMillis).isEmpty();
+    return !loading.isEmpty() || !dueLoads(servers, demand, nowMillis).isEmpty();
   }
 
   /**
@@ -77,7 +77,7 @@
     List<WeightLoad> started = new ArrayList<>();
     while (true) {
       List<WeightLoad> due =
-          due(servers, demand, nowMillis).stream()
+          dueLoads(servers, demand, nowMillis).stream()
               .filter(load -> mayStart(load.server(), servers, nowMillis))
               .toList();
       if (due.isEmpty()) {
