--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -60,7 +60,7 @@
   }
 
   /** Returns whether a load is due or in progress. */
-  public boolean isNeeded(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
+  public boolean hasWork(Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     return !loading.isEmpty() || !dueLoads(servers, demand, nowMillis).isEmpty();
   }
 
--- a/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
@@ -70,8 +70,8 @@
   @Test
   void noLoadIsNeededOnceAllServersHaveTheNewestVersion() {
     List<ServerEntry> servers = List.of(server("a", 2, 1));
-    assertThat(planner.isNeeded(servers, demand(Map.of("m", 2L)), 0), is(false));
-    assertThat(planner.isNeeded(servers, demand(Map.of("m", 3L)), 0), is(true));
+    assertThat(planner.hasWork(servers, demand(Map.of("m", 2L)), 0), is(false));
+    assertThat(planner.hasWork(servers, demand(Map.of("m", 3L)), 0), is(true));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -63,7 +63,7 @@
 
   @Override
   public boolean isNeeded(long nowMillis) {
-    return planner.isNeeded(servers(), demand(), nowMillis);
+    return planner.hasWork(servers(), demand(), nowMillis);
   }
 
   @Override
