--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -68,7 +68,7 @@
    * Starts the loads that are due and allowed now, and returns them. They count as in progress
    * until {@link #onDone} or {@link #onFailed}.
    */
-  public List<WeightLoad> begin(
+  public List<WeightLoad> startLoads(
       Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     removeExpired(nowMillis);
     loading
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -175,7 +175,8 @@
     announcedVersions.forEach((model, version) -> newest.put(model, version.version()));
     Map<String, Integer> openItems = new HashMap<>();
     owners.forEach(owner -> openItems.put(owner.model, owner.openItems()));
-    for (WeightLoad order : planner.begin(entries(), new WeightDemand(newest, openItems), now)) {
+    for (WeightLoad order :
+        planner.startLoads(entries(), new WeightDemand(newest, openItems), now)) {
       FakeModelServer server = server(order.server().incarnation().id());
       server.beginLoad(order.model());
       loads++;
--- a/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
@@ -35,18 +35,18 @@
   void concurrentLoadsAreLimited() {
     List<ServerEntry> servers = List.of(server("a", 1, 1), server("b", 1, 1), server("c", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L);
-    assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2", "b m 2"));
-    assertThat(planner.begin(servers, demand(newest), 10), empty());
+    assertThat(names(planner.startLoads(servers, demand(newest), 0)), contains("a m 2", "b m 2"));
+    assertThat(planner.startLoads(servers, demand(newest), 10), empty());
     planner.onDone(ServerIncarnation.of("a"));
     List<ServerEntry> loaded = List.of(server("a", 2, 1), server("b", 1, 1), server("c", 1, 1));
-    assertThat(names(planner.begin(loaded, demand(newest), 20)), contains("c m 2"));
+    assertThat(names(planner.startLoads(loaded, demand(newest), 20)), contains("c m 2"));
   }
 
   @Test
   void aLargeServiceLoadsOnAFractionOfItsServers() {
     List<ServerEntry> servers =
         IntStream.range(0, 24).mapToObj(i -> server(String.format("s%02d", i), 1, 1)).toList();
-    assertThat(planner.begin(servers, demand(Map.of("m", 2L)), 0), hasSize(7));
+    assertThat(planner.startLoads(servers, demand(Map.of("m", 2L)), 0), hasSize(7));
   }
 
   @Test
@@ -54,17 +54,17 @@
     List<ServerEntry> servers = List.of(server("a", 2, 1), server("b", 2, 1), server("c", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L, "n", 2L);
     WeightDemand everywhere = new WeightDemand(newest, Map.of("m", 72, "n", 72));
-    assertThat(names(planner.begin(servers, everywhere, 0)), contains("a n 2", "b n 2"));
+    assertThat(names(planner.startLoads(servers, everywhere, 0)), contains("a n 2", "b n 2"));
   }
 
   @Test
   void aServerIsNotRetriedBeforeTheRetryTime() {
     List<ServerEntry> servers = List.of(server("a", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L);
-    planner.begin(servers, demand(newest), 0);
+    planner.startLoads(servers, demand(newest), 0);
     planner.onFailed(ServerIncarnation.of("a"), 500);
-    assertThat(planner.begin(servers, demand(newest), 499), empty());
-    assertThat(names(planner.begin(servers, demand(newest), 500)), contains("a m 2"));
+    assertThat(planner.startLoads(servers, demand(newest), 499), empty());
+    assertThat(names(planner.startLoads(servers, demand(newest), 500)), contains("a m 2"));
   }
 
   @Test
@@ -78,15 +78,15 @@
   void aLeavingServerGetsNoLoad() {
     ServerEntry leaving =
         new ServerEntry(ServerIncarnation.of("a"), "llm", "a:1", "z", 8, false, Map.of("m", 1L));
-    assertThat(planner.begin(List.of(leaving), demand(Map.of("m", 2L)), 0), empty());
+    assertThat(planner.startLoads(List.of(leaving), demand(Map.of("m", 2L)), 0), empty());
   }
 
   @Test
   void anUnreachableServerIsReplacedByAnother() {
     List<ServerEntry> servers = List.of(server("a", 1, 1), server("b", 1, 1));
     Map<String, Long> newest = Map.of("m", 2L, "n", 1L);
-    assertThat(names(planner.begin(servers, demand(newest), 0)), contains("a m 2"));
+    assertThat(names(planner.startLoads(servers, demand(newest), 0)), contains("a m 2"));
     planner.onUnreachable(ServerIncarnation.of("a"), 1_500);
-    assertThat(names(planner.begin(servers, demand(newest), 10)), contains("b m 2"));
+    assertThat(names(planner.startLoads(servers, demand(newest), 10)), contains("b m 2"));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -68,7 +68,7 @@
 
   @Override
   public void act(long nowMillis) {
-    planner.begin(servers(), demand(), nowMillis).forEach(this::checkServer);
+    planner.startLoads(servers(), demand(), nowMillis).forEach(this::checkServer);
   }
 
   /** Returns the servers of routed services; others may not belong to this platform. */
