--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -66,7 +66,7 @@
 
   /**
    * Starts the loads that are due and allowed now, and returns them. They count as in progress
-   * until {@link #onDone} or {@link #onFailed}.
+   * until {@link #onLoaded} or {@link #onFailed}.
    */
   public List<WeightLoad> startLoads(
       Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
@@ -116,7 +116,7 @@
   }
 
   /** Records that a server has completed its load. */
-  public void onDone(ServerIncarnation start) {
+  public void onLoaded(ServerIncarnation start) {
     loading.remove(start);
   }
 
--- a/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
+++ b/core/src/test/java/org/passhaven/core/order/WeightLoadPlannerTest.java
@@ -37,7 +37,7 @@
     Map<String, Long> newest = Map.of("m", 2L);
     assertThat(names(planner.startLoads(servers, demand(newest), 0)), contains("a m 2", "b m 2"));
     assertThat(planner.startLoads(servers, demand(newest), 10), empty());
-    planner.onDone(ServerIncarnation.of("a"));
+    planner.onLoaded(ServerIncarnation.of("a"));
     List<ServerEntry> loaded = List.of(server("a", 2, 1), server("b", 1, 1), server("c", 1, 1));
     assertThat(names(planner.startLoads(loaded, demand(newest), 20)), contains("c m 2"));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
+++ b/node/src/main/java/org/passhaven/node/gateway/VersionOrderDuty.java
@@ -196,7 +196,7 @@
             server.startMillis(),
             wanted.model(),
             wanted.version()));
-    planner.onDone(server);
+    planner.onLoaded(server);
     duties.decide();
   }
 
