--- a/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
+++ b/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.passhaven.core.tenant.Admission.Admitted;
-import org.passhaven.core.tenant.Admission.Reason;
-import org.passhaven.core.tenant.Admission.Rejected;
+import org.passhaven.core.tenant.AuthenticationResult.Admitted;
+import org.passhaven.core.tenant.AuthenticationResult.Reason;
+import org.passhaven.core.tenant.AuthenticationResult.Rejected;
 
 /**
  * Immutable lookup table of the tenants of one configuration by API key and by name; a lookup takes
@@ -42,7 +42,7 @@
    * @param isPublic whether the request needs no key
    * @param key key in the request; empty if there is not exactly one
    */
-  public Admission admit(boolean isPublic, Optional<String> key) {
+  public AuthenticationResult admit(boolean isPublic, Optional<String> key) {
     Tenant tenant = key.map(byKey::get).orElse(null);
     if (tenant != null) {
       return new Admitted(tenant.name());
--- a/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
+++ b/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.tenant.Admission.Admitted;
-import org.passhaven.core.tenant.Admission.Reason;
-import org.passhaven.core.tenant.Admission.Rejected;
+import org.passhaven.core.tenant.AuthenticationResult.Admitted;
+import org.passhaven.core.tenant.AuthenticationResult.Reason;
+import org.passhaven.core.tenant.AuthenticationResult.Rejected;
 
 class TenantTableTest {
   private static final Tenant FIRST = new Tenant("first", OptionalInt.of(2));
