--- a/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
+++ b/core/src/main/java/org/passhaven/core/tenant/TenantTable.java
@@ -42,7 +42,7 @@
    * @param isPublic whether the request needs no key
    * @param key key in the request; empty if there is not exactly one
    */
-  public AuthenticationResult admit(boolean isPublic, Optional<String> key) {
+  public AuthenticationResult authenticate(boolean isPublic, Optional<String> key) {
     Tenant tenant = key.map(byKey::get).orElse(null);
     if (tenant != null) {
       return new Admitted(tenant.name());
--- a/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
+++ b/core/src/test/java/org/passhaven/core/tenant/TenantTableTest.java
@@ -21,23 +21,24 @@
 
   @Test
   void eachKeyOfATenantAuthenticatesTheTenant() {
-    assertThat(table.admit(false, Optional.of("key-1")), equalTo(new Admitted("first")));
-    assertThat(table.admit(false, Optional.of("key-2")), equalTo(new Admitted("first")));
-    assertThat(table.admit(true, Optional.of("key-3")), equalTo(new Admitted("second")));
+    assertThat(table.authenticate(false, Optional.of("key-1")), equalTo(new Admitted("first")));
+    assertThat(table.authenticate(false, Optional.of("key-2")), equalTo(new Admitted("first")));
+    assertThat(table.authenticate(true, Optional.of("key-3")), equalTo(new Admitted("second")));
   }
 
   @Test
   void onlyPublicRequestsAreAdmittedWithoutAKnownKey() {
-    assertThat(table.admit(false, Optional.empty()), equalTo(new Rejected(Reason.NO_KEY)));
-    assertThat(table.admit(false, Optional.of("x")), equalTo(new Rejected(Reason.UNKNOWN_KEY)));
-    assertThat(table.admit(true, Optional.empty()), equalTo(new Admitted("")));
-    assertThat(table.admit(true, Optional.of("x")), equalTo(new Admitted("")));
+    assertThat(table.authenticate(false, Optional.empty()), equalTo(new Rejected(Reason.NO_KEY)));
+    assertThat(
+        table.authenticate(false, Optional.of("x")), equalTo(new Rejected(Reason.UNKNOWN_KEY)));
+    assertThat(table.authenticate(true, Optional.empty()), equalTo(new Admitted("")));
+    assertThat(table.authenticate(true, Optional.of("x")), equalTo(new Admitted("")));
   }
 
   @Test
   void requestsNeedNoKeyWithoutTenants() {
-    assertThat(TenantTable.NONE.admit(false, Optional.empty()), equalTo(new Admitted("")));
-    assertThat(TenantTable.NONE.admit(false, Optional.of("x")), equalTo(new Admitted("")));
+    assertThat(TenantTable.NONE.authenticate(false, Optional.empty()), equalTo(new Admitted("")));
+    assertThat(TenantTable.NONE.authenticate(false, Optional.of("x")), equalTo(new Admitted("")));
   }
 
   @Test
