--- a/core/src/main/java/org/passhaven/core/usage/TrueTime.java
+++ b/core/src/main/java/org/passhaven/core/usage/TimeOfDayEstimator.java
@@ -10,7 +10,7 @@
  * steady clock does not count, looks the same as a jump: until it takes effect, the estimate is
  * behind by its length. Times are in milliseconds. Not thread-safe.
  */
-public final class TrueTime {
+public final class TimeOfDayEstimator {
   /** With two samples per second, jumps shorter than 15 s are ignored. */
   private static final int MAX_SAMPLES = 60;
 
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -87,7 +87,7 @@
 
   @Test
   void aJumpOfTheTimeOfDayTakesEffectWithDelay() {
-    TrueTime time = new TrueTime();
+    TimeOfDayEstimator time = new TimeOfDayEstimator();
     for (int i = 0; i < 40; i++) {
       time.onSample(i * 500L, 1_000_000 + i * 500L);
     }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.IntSupplier;
-import org.passhaven.core.usage.TrueTime;
+import org.passhaven.core.usage.TimeOfDayEstimator;
 import org.passhaven.core.usage.UsageCounter;
 import org.passhaven.core.usage.UsageSettings;
 import org.passhaven.protocol.Codec;
@@ -27,7 +27,7 @@
   private final GatewayContext context;
   private final UsageSettings settings;
   private final UsageCounter counter;
-  private final TrueTime trueTime = new TrueTime();
+  private final TimeOfDayEstimator trueTime = new TimeOfDayEstimator();
   private final IntSupplier liveNodes;
   private long lastPublishedMillis = Long.MIN_VALUE / 2;
   private boolean isPublishing;
