--- a/core/src/main/java/org/passhaven/core/usage/TimeOfDayEstimator.java
+++ b/core/src/main/java/org/passhaven/core/usage/TimeOfDayEstimator.java
@@ -31,7 +31,7 @@
    * Returns the estimated time of day at a moment of the steady clock; {@link #onSample} must have
    * been called before.
    */
-  public long at(long steadyMillis) {
+  public long estimateMillis(long steadyMillis) {
     return steadyMillis + medianMillis;
   }
 }
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -94,11 +94,11 @@
     for (int i = 40; i < 52; i++) {
       time.onSample(i * 500L, 1_006_000 + i * 500L);
     }
-    assertThat(time.at(26_000), equalTo(1_026_000L));
+    assertThat(time.estimateMillis(26_000), equalTo(1_026_000L));
     for (int i = 52; i < 130; i++) {
       time.onSample(i * 500L, 1_006_000 + i * 500L);
     }
-    assertThat(time.at(65_000), equalTo(1_071_000L));
+    assertThat(time.estimateMillis(65_000), equalTo(1_071_000L));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -62,13 +62,13 @@
 
   /** Returns the newest window whose counts are due to be made final. */
   long newestDueWindow(long nowMillis) {
-    return settings.newestDue(trueTime.at(nowMillis));
+    return settings.newestDue(trueTime.estimateMillis(nowMillis));
   }
 
   /** Counts a request that a server began to run; the time is in monotonic milliseconds. */
   void onRunStarted(String tenant, long sentAtMillis) {
     if (!tenant.isEmpty()) {
-      counter.onBegan(tenant, settings.windowAt(trueTime.at(sentAtMillis)));
+      counter.onBegan(tenant, settings.windowAt(trueTime.estimateMillis(sentAtMillis)));
     }
   }
 
