--- a/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
@@ -29,7 +29,7 @@
   }
 
   /** Counts a request of a tenant that started in a window. */
-  public void onBegan(String tenant, long window) {
+  public void onRequestStarted(String tenant, long window) {
     countsByWindow.computeIfAbsent(window, key -> new HashMap<>()).merge(tenant, 1L, Long::sum);
     unpublishedWindows.add(window);
     while (countsByWindow.size() > MAX_WINDOWS) {
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -76,11 +76,11 @@
   @Test
   void unpublishedCountsArePublishedAgainAsTotals() {
     UsageCounter counter = new UsageCounter("n", 1);
-    counter.onBegan("t", 5);
+    counter.onRequestStarted("t", 5);
     List<UsageRecord> first = counter.takeUntold();
     assertThat(first, equalTo(List.of(record(1, 5, 1))));
     assertThat(counter.takeUntold(), equalTo(List.of()));
-    counter.onBegan("t", 5);
+    counter.onRequestStarted("t", 5);
     counter.onNotTold(first);
     assertThat(counter.takeUntold(), equalTo(List.of(record(1, 5, 2))));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -68,7 +68,7 @@
   /** Counts a request that a server began to run; the time is in monotonic milliseconds. */
   void onRunStarted(String tenant, long sentAtMillis) {
     if (!tenant.isEmpty()) {
-      counter.onBegan(tenant, settings.windowAt(trueTime.estimateMillis(sentAtMillis)));
+      counter.onRequestStarted(tenant, settings.windowAt(trueTime.estimateMillis(sentAtMillis)));
     }
   }
 
