--- a/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
@@ -41,7 +41,7 @@
    * Returns records of the counts that have changed since the last call, and marks them as
    * published.
    */
-  public List<UsageRecord> takeUntold() {
+  public List<UsageRecord> takeUnpublished() {
     List<UsageRecord> records = new ArrayList<>();
     unpublishedWindows.forEach(
         window ->
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -77,12 +77,12 @@
   void unpublishedCountsArePublishedAgainAsTotals() {
     UsageCounter counter = new UsageCounter("n", 1);
     counter.onRequestStarted("t", 5);
-    List<UsageRecord> first = counter.takeUntold();
+    List<UsageRecord> first = counter.takeUnpublished();
     assertThat(first, equalTo(List.of(record(1, 5, 1))));
-    assertThat(counter.takeUntold(), equalTo(List.of()));
+    assertThat(counter.takeUnpublished(), equalTo(List.of()));
     counter.onRequestStarted("t", 5);
     counter.onNotTold(first);
-    assertThat(counter.takeUntold(), equalTo(List.of(record(1, 5, 2))));
+    assertThat(counter.takeUnpublished(), equalTo(List.of(record(1, 5, 2))));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -74,7 +74,7 @@
 
   /** Publishes the new counts in the log; completes when the append has succeeded or failed. */
   Uni<Void> publish() {
-    List<UsageRecord> records = isPublishing ? List.of() : counter.takeUntold();
+    List<UsageRecord> records = isPublishing ? List.of() : counter.takeUnpublished();
     if (records.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
