--- a/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
@@ -54,7 +54,7 @@
    * Marks the windows of these records as unpublished, because appending them to the log may have
    * failed.
    */
-  public void onNotTold(List<UsageRecord> records) {
+  public void onPublishFailed(List<UsageRecord> records) {
     records.stream()
         .map(UsageRecord::window)
         .filter(countsByWindow::containsKey)
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -81,7 +81,7 @@
     assertThat(first, equalTo(List.of(record(1, 5, 1))));
     assertThat(counter.takeUnpublished(), equalTo(List.of()));
     counter.onRequestStarted("t", 5);
-    counter.onNotTold(first);
+    counter.onPublishFailed(first);
     assertThat(counter.takeUnpublished(), equalTo(List.of(record(1, 5, 2))));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -93,7 +93,7 @@
   }
 
   private void onFailure(List<UsageRecord> records, Throwable failure) {
-    counter.onNotTold(records);
+    counter.onPublishFailed(records);
     LOG.atDebug()
         .addKeyValue("windows", records.size())
         .addKeyValue("reason", PlatformException.from(failure).getMessage())
