--- a/core/src/main/java/org/passhaven/core/usage/UsageReports.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
@@ -13,7 +13,7 @@
  * counts of its first record only, so every holder and every repetition reports the same. Windows
  * are processed in order. Not thread-safe.
  */
-public final class UsageReports {
+public final class UsageReportTracker {
   /**
    * Limit on the backlog: older windows are dropped after a long outage (10 minutes with windows of
    * 5 s).
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
@@ -13,7 +13,7 @@
 import org.passhaven.protocol.usage.UsageRecord;
 
 class UsageReportsTest {
-  private final UsageReports reports = new UsageReports();
+  private final UsageReportTracker reports = new UsageReportTracker();
   private final UsageTable table = new UsageTable();
 
   private static UsageFixed fixed(long window, long count) {
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.passhaven.core.usage.UsageReports;
+import org.passhaven.core.usage.UsageReportTracker;
 import org.passhaven.core.usage.UsageTable;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
@@ -35,7 +35,7 @@
   private final GatewayContext context;
   private final DutyAgent duties;
   private final UsageMeter meter;
-  private final UsageReports reports = new UsageReports();
+  private final UsageReportTracker reports = new UsageReportTracker();
   private UsageTable table = new UsageTable();
   private LogTail tail;
   private long lastFixedMillis = Long.MIN_VALUE / 2;
