--- a/core/src/test/java/org/passhaven/core/usage/UsageReportsTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
@@ -12,7 +12,7 @@
 import org.passhaven.protocol.duty.DutyRecord.UsageReported;
 import org.passhaven.protocol.usage.UsageRecord;
 
-class UsageReportsTest {
+class UsageReportTrackerTest {
   private final UsageReportTracker reports = new UsageReportTracker();
   private final UsageTable table = new UsageTable();
 
