--- a/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
@@ -23,13 +23,13 @@
   private final TreeMap<Long, Map<String, Long>> unreportedCountsByWindow = new TreeMap<>();
   private long newestFixed = Long.MIN_VALUE;
   private long newestReported = Long.MIN_VALUE;
-  private long readTo;
+  private long resumeOffset;
 
   /** Applies a record that fixes a window. */
   public void onFixed(UsageFixed fixed) {
     if (fixed.window() > newestFixed) {
       newestFixed = fixed.window();
-      readTo = Math.max(readTo, fixed.readTo());
+      resumeOffset = Math.max(resumeOffset, fixed.readTo());
       if (fixed.window() > newestReported) {
         unreportedCountsByWindow.put(fixed.window(), fixed.counts());
       }
@@ -46,8 +46,8 @@
    * Returns the offset in the stream of counts from which a new holder must read: records of
    * windows that are not fixed yet are not before it.
    */
-  public long readTo() {
-    return readTo;
+  public long resumeOffset() {
+    return resumeOffset;
   }
 
   /** Returns whether a window is to be fixed or reported. */
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -71,7 +71,7 @@
               UsageMeter.STREAM,
               () -> READ_PAUSE_MILLIS,
               this::onCounts);
-      tail.start(reports.readTo());
+      tail.start(reports.resumeOffset());
     }
   }
 
