--- a/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
@@ -51,7 +51,7 @@
   }
 
   /** Returns whether a window is to be fixed or reported. */
-  public boolean isNeeded(long newestDue) {
+  public boolean hasWork(long newestDue) {
     return !unreportedCountsByWindow.isEmpty() || nextToFix(newestDue).isPresent();
   }
 
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
@@ -40,8 +40,8 @@
     reports.onReported(new UsageReported(1, "n", 1, 40));
     reports.onFixed(fixed(40, 5));
     assertThat(reports.nextToReport().isPresent(), is(false));
-    assertThat(reports.isNeeded(40), is(false));
-    assertThat(reports.isNeeded(41), is(true));
+    assertThat(reports.hasWork(40), is(false));
+    assertThat(reports.hasWork(41), is(true));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -53,7 +53,7 @@
 
   @Override
   public boolean isNeeded(long nowMillis) {
-    return reports.isNeeded(meter.newestDueWindow(nowMillis));
+    return reports.hasWork(meter.newestDueWindow(nowMillis));
   }
 
   @Override
