--- a/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
@@ -6,9 +6,9 @@
  * @param windowMillis length of a window; window k begins k window lengths after the Unix epoch
  * @param fixAfterMillis time after a window's end at which its counts are fixed; all nodes have
  *     published their counts by then
- * @param mostTellsPerSecond maximum number of appends of counts per second by all nodes together
+ * @param maxPublishesPerSecond maximum number of appends of counts per second by all nodes together
  */
-public record UsageSettings(long windowMillis, long fixAfterMillis, int mostTellsPerSecond) {
+public record UsageSettings(long windowMillis, long fixAfterMillis, int maxPublishesPerSecond) {
   /**
    * Limits the load on the log. Unpublished counts are lost with their node, so the interval also
    * bounds the error of a report.
@@ -18,14 +18,14 @@
   private static final long MILLIS_PER_SECOND = 1_000;
 
   public UsageSettings {
-    if (windowMillis < 1 || fixAfterMillis < 0 || mostTellsPerSecond < 1) {
+    if (windowMillis < 1 || fixAfterMillis < 0 || maxPublishesPerSecond < 1) {
       throw new IllegalArgumentException(
           "windowMillis is "
               + windowMillis
               + ", fixAfterMillis is "
               + fixAfterMillis
               + ", mostTellsPerSecond is "
-              + mostTellsPerSecond);
+              + maxPublishesPerSecond);
     }
   }
 
@@ -36,7 +36,7 @@
    * @param liveNodes number of nodes that are known to be alive
    */
   public long tellMillis(int liveNodes) {
-    long sharedIntervalMillis = liveNodes * MILLIS_PER_SECOND / mostTellsPerSecond;
+    long sharedIntervalMillis = liveNodes * MILLIS_PER_SECOND / maxPublishesPerSecond;
     return Math.max(
         MIN_PUBLISH_INTERVAL_MILLIS, Math.min(fixAfterMillis / 2, sharedIntervalMillis));
   }
