--- a/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
@@ -35,7 +35,7 @@
    *
    * @param liveNodes number of nodes that are known to be alive
    */
-  public long tellMillis(int liveNodes) {
+  public long publishIntervalMillis(int liveNodes) {
     long sharedIntervalMillis = liveNodes * MILLIS_PER_SECOND / maxPublishesPerSecond;
     return Math.max(
         MIN_PUBLISH_INTERVAL_MILLIS, Math.min(fixAfterMillis / 2, sharedIntervalMillis));
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
@@ -112,9 +112,9 @@
   @Test
   void publishingIsBoundedAndCompletedBeforeWindowsAreFixed() {
     UsageSettings settings = new UsageSettings(5_000, 3_000, 300);
-    assertThat(settings.tellMillis(0), equalTo(250L));
-    assertThat(settings.tellMillis(71), equalTo(250L));
-    assertThat(settings.tellMillis(370), equalTo(1_233L));
-    assertThat(settings.tellMillis(5_000), equalTo(1_500L));
+    assertThat(settings.publishIntervalMillis(0), equalTo(250L));
+    assertThat(settings.publishIntervalMillis(71), equalTo(250L));
+    assertThat(settings.publishIntervalMillis(370), equalTo(1_233L));
+    assertThat(settings.publishIntervalMillis(5_000), equalTo(1_500L));
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageMeter.java
@@ -51,7 +51,8 @@
   }
 
   private void publishIfDue() {
-    if (context.nowMillis() - lastPublishedMillis >= settings.tellMillis(liveNodes.getAsInt())) {
+    if (context.nowMillis() - lastPublishedMillis
+        >= settings.publishIntervalMillis(liveNodes.getAsInt())) {
       publish().subscribe().with(ignored -> {});
     }
   }
