--- a/core/src/main/java/org/passhaven/core/usage/UsageTable.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageTable.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns the lowest offset of a record of a later window; empty if there is none. */
-  public OptionalLong firstOffsetBehind(long window) {
+  public OptionalLong firstOffsetAfter(long window) {
     return firstOffsetByWindow.tailMap(window, false).values().stream()
         .mapToLong(Long::longValue)
         .min();
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
@@ -67,10 +67,10 @@
     table.onRecord(record(1, 6, 1), 11);
     table.onRecord(record(1, 5, 2), 12);
     table.onRecord(record(1, 7, 1), 13);
-    assertThat(table.firstOffsetBehind(5), equalTo(OptionalLong.of(11)));
+    assertThat(table.firstOffsetAfter(5), equalTo(OptionalLong.of(11)));
     table.forgetTo(6);
-    assertThat(table.firstOffsetBehind(6), equalTo(OptionalLong.of(13)));
-    assertThat(table.firstOffsetBehind(7), equalTo(OptionalLong.empty()));
+    assertThat(table.firstOffsetAfter(6), equalTo(OptionalLong.of(13)));
+    assertThat(table.firstOffsetAfter(7), equalTo(OptionalLong.empty()));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -138,7 +138,7 @@
             context.incarnation(),
             window,
             table.totals(window),
-            table.firstOffsetBehind(window).orElse(tail.position())));
+            table.firstOffsetAfter(window).orElse(tail.position())));
   }
 
   private void send(Map.Entry<Long, Map<String, Long>> due, long nowMillis) {
