--- a/core/src/main/java/org/passhaven/core/usage/UsageTable.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageTable.java
@@ -45,7 +45,7 @@
   }
 
   /** Removes all windows up to and including {@code window}. */
-  public void forgetTo(long window) {
+  public void removeUpTo(long window) {
     countsByWindow.headMap(window, true).clear();
     firstOffsetByWindow.headMap(window, true).clear();
   }
--- a/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
+++ b/core/src/test/java/org/passhaven/core/usage/UsageReportTrackerTest.java
@@ -68,7 +68,7 @@
     table.onRecord(record(1, 5, 2), 12);
     table.onRecord(record(1, 7, 1), 13);
     assertThat(table.firstOffsetAfter(5), equalTo(OptionalLong.of(11)));
-    table.forgetTo(6);
+    table.removeUpTo(6);
     assertThat(table.firstOffsetAfter(6), equalTo(OptionalLong.of(13)));
     assertThat(table.firstOffsetAfter(7), equalTo(OptionalLong.empty()));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -87,7 +87,7 @@
   public void onRecord(DutyRecord record) {
     if (record instanceof DutyRecord.UsageFixed fixed) {
       reports.onFixed(fixed);
-      table.forgetTo(fixed.window());
+      table.removeUpTo(fixed.window());
       lastFixedMillis = Long.MIN_VALUE / 2;
     } else if (record instanceof DutyRecord.UsageReported reported) {
       reports.onReported(reported);
