--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -35,10 +35,10 @@
   static final long EXPIRY_MILLIS = 1_200_000;
 
   /** Bounds the memory of the table; an entry takes about 200 bytes. */
-  public static final int MOST_SUSPECTS = 1_000;
+  public static final int MAX_SUSPECTS = 1_000;
 
   /**
-   * Excess over {@link #MOST_SUSPECTS} at which entries are evicted, many at a time, since choosing
+   * Excess over {@link #MAX_SUSPECTS} at which entries are evicted, many at a time, since choosing
    * them scans the whole table.
    */
   private static final int EVICTION_BATCH = 64;
@@ -88,7 +88,7 @@
    * which.
    */
   public boolean isOverfull() {
-    return suspects.size() >= MOST_SUSPECTS + EVICTION_BATCH;
+    return suspects.size() >= MAX_SUSPECTS + EVICTION_BATCH;
   }
 
   /** Returns whether a request is suspected. */
@@ -201,7 +201,7 @@
             due.add(fingerprint);
           }
         });
-    int tooMany = suspects.size() - due.size() - MOST_SUSPECTS;
+    int tooMany = suspects.size() - due.size() - MAX_SUSPECTS;
     if (tooMany > 0) {
       suspects.entrySet().stream()
           .filter(entry -> !due.contains(entry.getKey()))
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -113,7 +113,7 @@
       }
     }
     table.due(2_000).forEach(table::remove);
-    assertThat(table.size(), equalTo(CrashTable.MOST_SUSPECTS));
+    assertThat(table.size(), equalTo(CrashTable.MAX_SUSPECTS));
     assertThat(table.crashes(CRASHING), equalTo(2));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -38,7 +38,7 @@
   private static final long CLEANUP_PERIOD_MILLIS = 10_000;
 
   /** Room for one addition and one removal per suspect. */
-  private static final int MAX_UNWRITTEN_NOTES = 2 * CrashTable.MOST_SUSPECTS;
+  private static final int MAX_UNWRITTEN_NOTES = 2 * CrashTable.MAX_SUSPECTS;
 
   private final GatewayContext context;
   private final CrashTable table = new CrashTable();
