--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -59,18 +59,18 @@
   }
 
   /** Decision on whether a request may run now. */
-  public sealed interface Verdict {
+  public sealed interface RunDecision {
     /** The request is not suspected. */
-    record Clear() implements Verdict {}
+    record Clear() implements RunDecision {}
 
     /** A server has crashed during the request; it may run, but at only one server at a time. */
-    record Alone() implements Verdict {}
+    record Alone() implements RunDecision {}
 
     /** The request must not run before the given time. */
-    record Held(long untilMillis) implements Verdict {}
+    record Held(long untilMillis) implements RunDecision {}
 
     /** The request may run if this node is the first to claim the trial with this number. */
-    record TrialDue(int number) implements Verdict {}
+    record TrialDue(int number) implements RunDecision {}
   }
 
   /** Returns whether no request is suspected. */
@@ -121,16 +121,18 @@
   }
 
   /** Decides whether a request may run. */
-  public Verdict verdict(String fingerprint, long nowMillis) {
+  public RunDecision verdict(String fingerprint, long nowMillis) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect == null) {
-      return new Verdict.Clear();
+      return new RunDecision.Clear();
     }
     if (suspect.servers.size() < QUARANTINE_CRASHES) {
-      return new Verdict.Alone();
+      return new RunDecision.Alone();
     }
     long until = suspect.changedMillis + pauseMillis(suspect.rank());
-    return nowMillis < until ? new Verdict.Held(until) : new Verdict.TrialDue(suspect.trials + 1);
+    return nowMillis < until
+        ? new RunDecision.Held(until)
+        : new RunDecision.TrialDue(suspect.trials + 1);
   }
 
   private static long pauseMillis(int rank) {
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -11,7 +11,7 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.crash.CrashTable.Verdict;
+import org.passhaven.core.crash.CrashTable.RunDecision;
 import org.passhaven.protocol.crash.CrashNote;
 
 class CrashTableTest {
@@ -33,9 +33,9 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "a", 5);
-    assertThat(table.verdict(CRASHING, 10), instanceOf(Verdict.Alone.class));
-    assertThat(table.verdict(CONCURRENT, 10), instanceOf(Verdict.Alone.class));
-    assertThat(table.verdict("other", 10), instanceOf(Verdict.Clear.class));
+    assertThat(table.verdict(CRASHING, 10), instanceOf(RunDecision.Alone.class));
+    assertThat(table.verdict(CONCURRENT, 10), instanceOf(RunDecision.Alone.class));
+    assertThat(table.verdict("other", 10), instanceOf(RunDecision.Clear.class));
   }
 
   @Test
@@ -43,15 +43,15 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CRASHING, "b", 100);
     long first = 100 + CrashTable.FIRST_PAUSE_MILLIS;
-    assertThat(table.verdict(CRASHING, 101), equalTo(new Verdict.Held(first)));
-    assertThat(table.verdict(CRASHING, first), equalTo(new Verdict.TrialDue(1)));
+    assertThat(table.verdict(CRASHING, 101), equalTo(new RunDecision.Held(first)));
+    assertThat(table.verdict(CRASHING, first), equalTo(new RunDecision.TrialDue(1)));
     recordTrial(CRASHING, 1, "n", first);
     assertThat(
-        table.verdict(CRASHING, first), equalTo(new Verdict.Held(first + 3 * (first - 100))));
+        table.verdict(CRASHING, first), equalTo(new RunDecision.Held(first + 3 * (first - 100))));
     recordCrash(CRASHING, "c", first + 50);
     assertThat(
         table.verdict(CRASHING, first + 60),
-        equalTo(new Verdict.Held(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
+        equalTo(new RunDecision.Held(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
   }
 
   @Test
@@ -64,16 +64,17 @@
       if (crash == 3) {
         thirdAt = now;
       }
-      Verdict verdict = table.verdict(CRASHING, now);
-      if (verdict instanceof Verdict.Held held) {
+      RunDecision verdict = table.verdict(CRASHING, now);
+      if (verdict instanceof RunDecision.Held held) {
         now = held.untilMillis();
-        recordTrial(CRASHING, ((Verdict.TrialDue) table.verdict(CRASHING, now)).number(), "n", now);
+        recordTrial(
+            CRASHING, ((RunDecision.TrialDue) table.verdict(CRASHING, now)).number(), "n", now);
         sentAfterThird += crash >= 3 && now <= thirdAt + 180_000 ? 1 : 0;
       }
     }
     assertThat(sentAfterThird, lessThanOrEqualTo(3));
-    assertThat(table.verdict(CRASHING, now), instanceOf(Verdict.Held.class));
-    long pause = ((Verdict.Held) table.verdict(CRASHING, now)).untilMillis() - now;
+    assertThat(table.verdict(CRASHING, now), instanceOf(RunDecision.Held.class));
+    long pause = ((RunDecision.Held) table.verdict(CRASHING, now)).untilMillis() - now;
     assertThat(pause, lessThanOrEqualTo(CrashTable.MAX_PAUSE_MILLIS));
   }
 
@@ -81,10 +82,10 @@
   void aSuccessfulRunClearsARequestThatRanDuringTwoCrashes() {
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "b", 10);
-    assertThat(table.verdict(CONCURRENT, 20), instanceOf(Verdict.Held.class));
+    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Held.class));
     assertThat(table.keysOf(CONCURRENT), hasSize(2));
     table.remove(CONCURRENT);
-    assertThat(table.verdict(CONCURRENT, 20), instanceOf(Verdict.Clear.class));
+    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Clear.class));
     assertThat(table.isEmpty(), is(true));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -3,7 +3,7 @@
 import io.smallrye.mutiny.Uni;
 import java.util.Objects;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.crash.CrashTable.Verdict;
+import org.passhaven.core.crash.CrashTable.RunDecision;
 import org.passhaven.core.forward.ForwardPlan.Outcome;
 import org.passhaven.spi.BackEndService.Call;
 
@@ -46,8 +46,8 @@
     if (crashes.hasNoSuspects() || isInTrial) {
       return true;
     }
-    Verdict verdict = crashes.verdict(fingerprint());
-    if (verdict instanceof Verdict.TrialDue due && !isRunning) {
+    RunDecision verdict = crashes.verdict(fingerprint());
+    if (verdict instanceof RunDecision.TrialDue due && !isRunning) {
       isClaiming = true;
       crashes
           .claimTrial(fingerprint(), due.number())
@@ -55,12 +55,13 @@
           .with(ignored -> onClaimed(whenClaimed));
     }
     updateHeldBack(verdict);
-    return verdict instanceof Verdict.Clear || (verdict instanceof Verdict.Alone && !isRunning);
+    return verdict instanceof RunDecision.Clear
+        || (verdict instanceof RunDecision.Alone && !isRunning);
   }
 
-  private void updateHeldBack(Verdict verdict) {
-    isHeldBack = verdict instanceof Verdict.Held || verdict instanceof Verdict.TrialDue;
-    if (verdict instanceof Verdict.Held held) {
+  private void updateHeldBack(RunDecision verdict) {
+    isHeldBack = verdict instanceof RunDecision.Held || verdict instanceof RunDecision.TrialDue;
+    if (verdict instanceof RunDecision.Held held) {
       heldUntilMillis = held.untilMillis();
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -2,7 +2,7 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import org.passhaven.core.crash.CrashTable.Verdict;
+import org.passhaven.core.crash.CrashTable.RunDecision;
 import org.passhaven.core.job.ItemGate;
 import org.passhaven.core.job.JobAction;
 import org.passhaven.protocol.job.JobItem;
@@ -36,14 +36,14 @@
     if (crashes.takeTrial(fingerprint)) {
       return true;
     }
-    Verdict verdict = crashes.verdict(fingerprint);
-    if (verdict instanceof Verdict.TrialDue due && pendingClaims.add(fingerprint)) {
+    RunDecision verdict = crashes.verdict(fingerprint);
+    if (verdict instanceof RunDecision.TrialDue due && pendingClaims.add(fingerprint)) {
       crashes
           .claimTrial(fingerprint, due.number())
           .subscribe()
           .with(ignored -> onClaimed(fingerprint));
     }
-    return verdict instanceof Verdict.Clear || verdict instanceof Verdict.Alone;
+    return verdict instanceof RunDecision.Clear || verdict instanceof RunDecision.Alone;
   }
 
   private void onClaimed(String fingerprint) {
