--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -61,7 +61,7 @@
   /** Decision on whether a request may run now. */
   public sealed interface RunDecision {
     /** The request is not suspected. */
-    record Clear() implements RunDecision {}
+    record Unsuspected() implements RunDecision {}
 
     /** A server has crashed during the request; it may run, but at only one server at a time. */
     record Alone() implements RunDecision {}
@@ -124,7 +124,7 @@
   public RunDecision verdict(String fingerprint, long nowMillis) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect == null) {
-      return new RunDecision.Clear();
+      return new RunDecision.Unsuspected();
     }
     if (suspect.servers.size() < QUARANTINE_CRASHES) {
       return new RunDecision.Alone();
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -35,7 +35,7 @@
     recordCrash(CONCURRENT, "a", 5);
     assertThat(table.verdict(CRASHING, 10), instanceOf(RunDecision.Alone.class));
     assertThat(table.verdict(CONCURRENT, 10), instanceOf(RunDecision.Alone.class));
-    assertThat(table.verdict("other", 10), instanceOf(RunDecision.Clear.class));
+    assertThat(table.verdict("other", 10), instanceOf(RunDecision.Unsuspected.class));
   }
 
   @Test
@@ -85,7 +85,7 @@
     assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Held.class));
     assertThat(table.keysOf(CONCURRENT), hasSize(2));
     table.remove(CONCURRENT);
-    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Clear.class));
+    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Unsuspected.class));
     assertThat(table.isEmpty(), is(true));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -55,7 +55,7 @@
           .with(ignored -> onClaimed(whenClaimed));
     }
     updateHeldBack(verdict);
-    return verdict instanceof RunDecision.Clear
+    return verdict instanceof RunDecision.Unsuspected
         || (verdict instanceof RunDecision.Alone && !isRunning);
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -43,7 +43,7 @@
           .subscribe()
           .with(ignored -> onClaimed(fingerprint));
     }
-    return verdict instanceof RunDecision.Clear || verdict instanceof RunDecision.Alone;
+    return verdict instanceof RunDecision.Unsuspected || verdict instanceof RunDecision.Alone;
   }
 
   private void onClaimed(String fingerprint) {
