--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -64,7 +64,7 @@
     record Unsuspected() implements RunDecision {}
 
     /** A server has crashed during the request; it may run, but at only one server at a time. */
-    record Alone() implements RunDecision {}
+    record SingleServer() implements RunDecision {}
 
     /** The request must not run before the given time. */
     record Held(long untilMillis) implements RunDecision {}
@@ -127,7 +127,7 @@
       return new RunDecision.Unsuspected();
     }
     if (suspect.servers.size() < QUARANTINE_CRASHES) {
-      return new RunDecision.Alone();
+      return new RunDecision.SingleServer();
     }
     long until = suspect.changedMillis + pauseMillis(suspect.rank());
     return nowMillis < until
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -33,8 +33,8 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "a", 5);
-    assertThat(table.verdict(CRASHING, 10), instanceOf(RunDecision.Alone.class));
-    assertThat(table.verdict(CONCURRENT, 10), instanceOf(RunDecision.Alone.class));
+    assertThat(table.verdict(CRASHING, 10), instanceOf(RunDecision.SingleServer.class));
+    assertThat(table.verdict(CONCURRENT, 10), instanceOf(RunDecision.SingleServer.class));
     assertThat(table.verdict("other", 10), instanceOf(RunDecision.Unsuspected.class));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -56,7 +56,7 @@
     }
     updateHeldBack(verdict);
     return verdict instanceof RunDecision.Unsuspected
-        || (verdict instanceof RunDecision.Alone && !isRunning);
+        || (verdict instanceof RunDecision.SingleServer && !isRunning);
   }
 
   private void updateHeldBack(RunDecision verdict) {
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -43,7 +43,8 @@
           .subscribe()
           .with(ignored -> onClaimed(fingerprint));
     }
-    return verdict instanceof RunDecision.Unsuspected || verdict instanceof RunDecision.Alone;
+    return verdict instanceof RunDecision.Unsuspected
+        || verdict instanceof RunDecision.SingleServer;
   }
 
   private void onClaimed(String fingerprint) {
