--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -67,7 +67,7 @@
     record SingleServer() implements RunDecision {}
 
     /** The request must not run before the given time. */
-    record Held(long untilMillis) implements RunDecision {}
+    record Quarantined(long untilMillis) implements RunDecision {}
 
     /** The request may run if this node is the first to claim the trial with this number. */
     record TrialDue(int number) implements RunDecision {}
@@ -131,7 +131,7 @@
     }
     long until = suspect.changedMillis + pauseMillis(suspect.rank());
     return nowMillis < until
-        ? new RunDecision.Held(until)
+        ? new RunDecision.Quarantined(until)
         : new RunDecision.TrialDue(suspect.trials + 1);
   }
 
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -43,15 +43,16 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CRASHING, "b", 100);
     long first = 100 + CrashTable.FIRST_PAUSE_MILLIS;
-    assertThat(table.verdict(CRASHING, 101), equalTo(new RunDecision.Held(first)));
+    assertThat(table.verdict(CRASHING, 101), equalTo(new RunDecision.Quarantined(first)));
     assertThat(table.verdict(CRASHING, first), equalTo(new RunDecision.TrialDue(1)));
     recordTrial(CRASHING, 1, "n", first);
     assertThat(
-        table.verdict(CRASHING, first), equalTo(new RunDecision.Held(first + 3 * (first - 100))));
+        table.verdict(CRASHING, first),
+        equalTo(new RunDecision.Quarantined(first + 3 * (first - 100))));
     recordCrash(CRASHING, "c", first + 50);
     assertThat(
         table.verdict(CRASHING, first + 60),
-        equalTo(new RunDecision.Held(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
+        equalTo(new RunDecision.Quarantined(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
   }
 
   @Test
@@ -65,7 +66,7 @@
         thirdAt = now;
       }
       RunDecision verdict = table.verdict(CRASHING, now);
-      if (verdict instanceof RunDecision.Held held) {
+      if (verdict instanceof RunDecision.Quarantined held) {
         now = held.untilMillis();
         recordTrial(
             CRASHING, ((RunDecision.TrialDue) table.verdict(CRASHING, now)).number(), "n", now);
@@ -73,8 +74,8 @@
       }
     }
     assertThat(sentAfterThird, lessThanOrEqualTo(3));
-    assertThat(table.verdict(CRASHING, now), instanceOf(RunDecision.Held.class));
-    long pause = ((RunDecision.Held) table.verdict(CRASHING, now)).untilMillis() - now;
+    assertThat(table.verdict(CRASHING, now), instanceOf(RunDecision.Quarantined.class));
+    long pause = ((RunDecision.Quarantined) table.verdict(CRASHING, now)).untilMillis() - now;
     assertThat(pause, lessThanOrEqualTo(CrashTable.MAX_PAUSE_MILLIS));
   }
 
@@ -82,7 +83,7 @@
   void aSuccessfulRunClearsARequestThatRanDuringTwoCrashes() {
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "b", 10);
-    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Held.class));
+    assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Quarantined.class));
     assertThat(table.keysOf(CONCURRENT), hasSize(2));
     table.remove(CONCURRENT);
     assertThat(table.verdict(CONCURRENT, 20), instanceOf(RunDecision.Unsuspected.class));
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -60,8 +60,9 @@
   }
 
   private void updateHeldBack(RunDecision verdict) {
-    isHeldBack = verdict instanceof RunDecision.Held || verdict instanceof RunDecision.TrialDue;
-    if (verdict instanceof RunDecision.Held held) {
+    isHeldBack =
+        verdict instanceof RunDecision.Quarantined || verdict instanceof RunDecision.TrialDue;
+    if (verdict instanceof RunDecision.Quarantined held) {
       heldUntilMillis = held.untilMillis();
     }
   }
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -119,7 +119,7 @@
     crashServers(second, "b");
     CrashTracker third = node("o");
     for (CrashTracker node : List.of(first, second, third)) {
-      assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+      assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
     }
   }
 
@@ -159,7 +159,7 @@
     addEntry(serverStartedAt("a", 3_100));
     addEntry(serverStartedAt("b", 3_200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
   }
 
   @Test
@@ -181,7 +181,7 @@
     interrupt(node, serverStartedAt("a", 100));
     interrupt(node, serverStartedAt("a", 200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
   }
 
   @Test
@@ -234,7 +234,7 @@
     removeEntry("a");
     addEntry(new ServerEntry(ServerIncarnation.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
   }
 
   @Test
@@ -244,11 +244,11 @@
     CrashTracker second = node("m");
     store.isDown = true;
     crashServers(first, "a", "b");
-    assertThat(first.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+    assertThat(first.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
     assertThat(second.hasNoSuspects(), is(true));
     store.isDown = false;
     timers.advance(400);
-    assertThat(second.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class));
+    assertThat(second.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
   }
 
   @Test
@@ -262,7 +262,7 @@
     long taken = nodes.stream().filter(node -> node.takeTrial(FINGERPRINT)).count();
     assertThat(taken, equalTo(1L));
     nodes.forEach(
-        node -> assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Held.class)));
+        node -> assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class)));
   }
 
   @Test
