--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -121,7 +121,7 @@
   }
 
   /** Decides whether a request may run. */
-  public RunDecision verdict(String fingerprint, long nowMillis) {
+  public RunDecision decide(String fingerprint, long nowMillis) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect == null) {
       return new RunDecision.Unsuspected();
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -86,7 +86,7 @@
 
   /** Returns whether and how a request may run now. */
   RunDecision verdict(String fingerprint) {
-    return table.verdict(fingerprint, context.nowMillis());
+    return table.decide(fingerprint, context.nowMillis());
   }
 
   /**
