--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -87,7 +87,7 @@
    * Returns whether there are so many entries that some are to be evicted now; {@link #due} returns
    * which.
    */
-  public boolean isOverfull() {
+  public boolean isEvictionDue() {
     return suspects.size() >= MAX_SUSPECTS + EVICTION_BATCH;
   }
 
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -110,7 +110,7 @@
     recordCrash(CRASHING, "b", 0);
     for (int i = 0; i < MILLION; i++) {
       recordCrash("x" + i, "a", 1 + i / 1_000);
-      if (table.isOverfull()) {
+      if (table.isEvictionDue()) {
         table.due(1 + i / 1_000).forEach(table::remove);
       }
     }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -173,7 +173,7 @@
 
   private void applyNote(CrashNote note) {
     table.onNote(note, context.nowMillis());
-    if (table.isOverfull()) {
+    if (table.isEvictionDue()) {
       removeExpired();
     }
   }
