--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Returns whether there are so many entries that some are to be evicted now; {@link #due} returns
-   * which.
+   * Returns whether there are so many entries that some are to be evicted now; {@link
+   * #requestsToRemove} returns which.
    */
   public boolean isEvictionDue() {
     return suspects.size() >= MAX_SUSPECTS + EVICTION_BATCH;
@@ -195,7 +195,7 @@
    * Returns the requests to remove now: those without a change for a long time and, if there are
    * too many, those with the fewest server crashes, the oldest first.
    */
-  public List<String> due(long nowMillis) {
+  public List<String> requestsToRemove(long nowMillis) {
     List<String> due = new ArrayList<>();
     suspects.forEach(
         (fingerprint, suspect) -> {
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -111,10 +111,10 @@
     for (int i = 0; i < MILLION; i++) {
       recordCrash("x" + i, "a", 1 + i / 1_000);
       if (table.isEvictionDue()) {
-        table.due(1 + i / 1_000).forEach(table::remove);
+        table.requestsToRemove(1 + i / 1_000).forEach(table::remove);
       }
     }
-    table.due(2_000).forEach(table::remove);
+    table.requestsToRemove(2_000).forEach(table::remove);
     assertThat(table.size(), equalTo(CrashTable.MAX_SUSPECTS));
     assertThat(table.crashes(CRASHING), equalTo(2));
   }
@@ -124,8 +124,9 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CRASHING, "b", 10);
     recordTrial(CRASHING, 1, "n", 5_000);
-    assertThat(table.due(5_000 + CrashTable.EXPIRY_MILLIS - 1), not(hasItem(CRASHING)));
-    assertThat(table.due(5_000 + CrashTable.EXPIRY_MILLIS), hasItem(CRASHING));
+    assertThat(
+        table.requestsToRemove(5_000 + CrashTable.EXPIRY_MILLIS - 1), not(hasItem(CRASHING)));
+    assertThat(table.requestsToRemove(5_000 + CrashTable.EXPIRY_MILLIS), hasItem(CRASHING));
     assertThat(table.keysOf(CRASHING), hasSize(3));
     table.retain(Set.of());
     assertThat(table.isEmpty(), is(true));
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -199,7 +199,7 @@
 
   private void removeExpired() {
     table
-        .due(context.nowMillis())
+        .requestsToRemove(context.nowMillis())
         .forEach(fingerprint -> forgetRequest(fingerprint, "old, or too many"));
   }
 
