--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -161,7 +161,7 @@
   }
 
   /** Makes a taken trial available again because no server ran the request. */
-  public void giveTrialBack(String fingerprint) {
+  public void returnTrial(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect != null) {
       suspect.trialIsUsed = false;
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -100,7 +100,7 @@
     assertThat("another incarnation", table.takeTrial(CRASHING, "n", 2), is(false));
     assertThat(table.takeTrial(CRASHING, "n", 1), is(true));
     assertThat(table.takeTrial(CRASHING, "n", 1), is(false));
-    table.giveTrialBack(CRASHING);
+    table.returnTrial(CRASHING);
     assertThat("no server ran it", table.takeTrial(CRASHING, "n", 1), is(true));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -99,7 +99,7 @@
 
   /** Makes a taken trial available again, after no server ran the request. */
   void returnTrial(String fingerprint) {
-    table.giveTrialBack(fingerprint);
+    table.returnTrial(fingerprint);
   }
 
   /**
