--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -99,7 +99,7 @@
   /**
    * Returns the number of servers that have crashed during a request since its last successful run.
    */
-  public int crashes(String fingerprint) {
+  public int countCrashes(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     return suspect == null ? 0 : suspect.servers.size();
   }
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -116,7 +116,7 @@
     }
     table.requestsToRemove(2_000).forEach(table::remove);
     assertThat(table.size(), equalTo(CrashTable.MAX_SUSPECTS));
-    assertThat(table.crashes(CRASHING), equalTo(2));
+    assertThat(table.countCrashes(CRASHING), equalTo(2));
   }
 
   @Test
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -132,7 +132,7 @@
     LOG.atInfo()
         .addKeyValue("fingerprint", fingerprint)
         .addKeyValue("trial", number)
-        .addKeyValue("crashes", table.crashes(fingerprint))
+        .addKeyValue("crashes", table.countCrashes(fingerprint))
         .log("crash: trial claimed");
     context
         .tables()
@@ -157,9 +157,9 @@
 
   private void recordCrash(String fingerprint, ServerIncarnation server) {
     CrashNote.Crashed note = new CrashNote.Crashed(fingerprint, server.toString());
-    int crashesBefore = table.crashes(fingerprint);
+    int crashesBefore = table.countCrashes(fingerprint);
     applyNote(note);
-    if (table.crashes(fingerprint) == crashesBefore) {
+    if (table.countCrashes(fingerprint) == crashesBefore) {
       return;
     }
     context.metrics().serverCrashesUnderRequests.increment();
@@ -188,7 +188,7 @@
   private void forgetRequest(String fingerprint, String reason) {
     LOG.atInfo()
         .addKeyValue("fingerprint", fingerprint)
-        .addKeyValue("crashes", table.crashes(fingerprint))
+        .addKeyValue("crashes", table.countCrashes(fingerprint))
         .addKeyValue("why", reason)
         .log("crash: request forgotten");
     List<TableService.Entry> removals =
