--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -174,7 +174,7 @@
   }
 
   /** Removes all requests except these, after all notes have been listed again. */
-  public void retain(Set<String> fingerprints) {
+  public void retainAll(Set<String> fingerprints) {
     suspects.keySet().retainAll(fingerprints);
   }
 
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -128,7 +128,7 @@
         table.requestsToRemove(5_000 + CrashTable.EXPIRY_MILLIS - 1), not(hasItem(CRASHING)));
     assertThat(table.requestsToRemove(5_000 + CrashTable.EXPIRY_MILLIS), hasItem(CRASHING));
     assertThat(table.keysOf(CRASHING), hasSize(3));
-    table.retain(Set.of());
+    table.retainAll(Set.of());
     assertThat(table.isEmpty(), is(true));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -240,7 +240,7 @@
       Set<String> kept = new HashSet<>();
       keys.forEach(key -> kept.add(CrashNote.fingerprintOf(key)));
       writer.unwrittenKeys().forEach(key -> kept.add(CrashNote.fingerprintOf(key)));
-      table.retain(kept);
+      table.retainAll(kept);
     }
   }
 }
