--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -121,7 +121,7 @@
    * Handles a clock jump: the lease and the intents that were sent before may have expired. Only a
    * new intent that is read back allows orders again.
    */
-  public void onClockGap() {
+  public void onClockJump() {
     validUntilMillis = NEVER_MILLIS;
     intentSentMillis = NEVER_MILLIS;
     sentMillisByNumber.clear();
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -54,7 +54,7 @@
     a.onRecord(next(a, 20).orElseThrow(), 30);
     DutyRecord underWay = next(a, 20 + VALID_MILLIS / 2 + 1).orElseThrow();
     assertThat(a.mayAct(600), is(true));
-    a.onClockGap();
+    a.onClockJump();
     assertThat(a.mayAct(600), is(false));
     a.onRecord(underWay, 610);
     assertThat("sent before the gap", a.mayAct(610), is(false));
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -180,7 +180,7 @@
     long jumps = context.timers().clockJumps().count();
     if (jumps != knownClockJumps) {
       knownClockJumps = jumps;
-      lease.onClockGap();
+      lease.onClockJump();
     }
     return now;
   }
