--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -275,7 +275,8 @@
    * @param holderAlive whether the holder is a live node that accepts work
    * @param rank rank of this node among the candidates, from zero
    */
-  public Optional<DutyRecord> next(boolean needed, boolean holderAlive, int rank, long nowMillis) {
+  public Optional<DutyRecord> nextRecord(
+      boolean needed, boolean holderAlive, int rank, long nowMillis) {
     if (!needed) {
       neededSinceMillis = NEVER_MILLIS;
       return isRenewalDue(nowMillis) ? nextIntent(nowMillis) : Optional.empty();
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -29,13 +29,13 @@
   }
 
   private static Optional<DutyRecord> next(DutyLease lease, long now) {
-    return lease.next(true, true, 0, now);
+    return lease.nextRecord(true, true, 0, now);
   }
 
   @Test
   void theHolderMayOrderOnceItsIntentIsReadBack() {
     DutyLease a = lease("a");
-    DutyRecord claim = a.next(true, false, 0, 0).orElseThrow();
+    DutyRecord claim = a.nextRecord(true, false, 0, 0).orElseThrow();
     assertThat(claim, instanceOf(Claimed.class));
     a.onRecord(claim, 10);
     DutyRecord intent = next(a, 20).orElseThrow();
@@ -50,7 +50,7 @@
   @Test
   void aClockJumpInvalidatesIntentsUntilANewOneIsReadBack() {
     DutyLease a = lease("a");
-    a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 10);
+    a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 10);
     a.onRecord(next(a, 20).orElseThrow(), 30);
     DutyRecord underWay = next(a, 20 + VALID_MILLIS / 2 + 1).orElseThrow();
     assertThat(a.mayAct(600), is(true));
@@ -67,7 +67,7 @@
     DutyLease b = lease("b");
     b.onRecord(new Claimed(1, "a", 1, 0), 100);
     b.onRecord(new Intended(1, "a", 1, 1, 0), 200);
-    DutyRecord claim = b.next(true, false, 0, 300).orElseThrow();
+    DutyRecord claim = b.nextRecord(true, false, 0, 300).orElseThrow();
     b.onRecord(claim, 310);
     long from = 200 + VALID_MILLIS + HANDOVER_MILLIS;
     DutyRecord intent = next(b, from - 50).orElseThrow();
@@ -81,7 +81,7 @@
   @Test
   void anIntentThatLandsAfterAnotherNodesClaimAllowsNoOrders() {
     DutyLease a = lease("a");
-    a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
+    a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     DutyRecord intent = next(a, 2).orElseThrow();
     a.onRecord(new Claimed(2, "b", 3, 1), 3);
     a.onRecord(intent, 4);
@@ -92,7 +92,7 @@
   @Test
   void theFirstOfTwoClaimsOfOneEpochWins() {
     DutyLease a = lease("a");
-    DutyRecord own = a.next(true, false, 0, 0).orElseThrow();
+    DutyRecord own = a.nextRecord(true, false, 0, 0).orElseThrow();
     a.onRecord(new Claimed(1, "b", 3, 0), 1);
     a.onRecord(own, 2);
     assertThat(a.holder(), equalTo("b"));
@@ -122,7 +122,7 @@
     b.onRecord(new Claimed(1, "a", 1, 0), 100);
     b.onRecord(new Intended(1, "a", 1, 1, 0), 200);
     b.onRecord(new DutyRecord.Released(1, "a", 1), 300);
-    b.onRecord(b.next(true, false, 0, 310).orElseThrow(), 320);
+    b.onRecord(b.nextRecord(true, false, 0, 310).orElseThrow(), 320);
     long from = 300 + HANDOVER_MILLIS;
     b.onRecord(next(b, from - 50).orElseThrow(), from - 40);
     assertThat(b.mayAct(from - 1), is(false));
@@ -136,7 +136,7 @@
     c.onRecord(new Intended(1, "a", 1, 1, 0), 1_000);
     c.onRecord(new Claimed(2, "b", 1, 2), 1_100);
     c.onRecord(new DutyRecord.Released(2, "b", 1), 1_200);
-    c.onRecord(c.next(true, false, 0, 1_210).orElseThrow(), 1_220);
+    c.onRecord(c.nextRecord(true, false, 0, 1_210).orElseThrow(), 1_220);
     long from = 1_000 + VALID_MILLIS + HANDOVER_MILLIS;
     c.onRecord(next(c, from - 50).orElseThrow(), from - 40);
     assertThat(c.mayAct(from - 1), is(false));
@@ -150,7 +150,7 @@
     again.onRecord(new Intended(1, "b", 1, 1, 0), 50_000);
     again.onRecord(new Claimed(2, "a", 7, 2), 50_000);
     again.onRecord(new Intended(2, "a", 7, 1, VALID_MILLIS + HANDOVER_MILLIS + 10), 50_000);
-    again.onRecord(again.next(true, false, 0, 50_010).orElseThrow(), 50_020);
+    again.onRecord(again.nextRecord(true, false, 0, 50_010).orElseThrow(), 50_020);
     again.onRecord(next(again, 50_030).orElseThrow(), 50_040);
     assertThat(again.mayAct(50_040), is(true));
     DutyLease other = new DutyLease("c", 8, SETTINGS);
@@ -162,7 +162,7 @@
   @Test
   void aHolderThatReleasedTheLeaseMayNotOrder() {
     DutyLease a = lease("a");
-    a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
+    a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     a.onRecord(next(a, 2).orElseThrow(), 3);
     assertThat(a.mayAct(4), is(true));
     a.onRecord(a.release().orElseThrow(), 5);
@@ -172,25 +172,25 @@
   @Test
   void noRecordIsWrittenWhileNoOrderIsDue() {
     DutyLease a = lease("a");
-    assertThat(a.next(false, false, 0, 0).isPresent(), is(false));
+    assertThat(a.nextRecord(false, false, 0, 0).isPresent(), is(false));
   }
 
   @Test
   void aHolderRenewsBeforeTheLogDropsItsRecords() {
     DutyLease a = lease("a");
-    a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
-    assertThat(a.next(false, true, 0, RENEW_MILLIS).isPresent(), is(false));
-    DutyRecord again = a.next(false, true, 0, RENEW_MILLIS + 1).orElseThrow();
+    a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
+    assertThat(a.nextRecord(false, true, 0, RENEW_MILLIS).isPresent(), is(false));
+    DutyRecord again = a.nextRecord(false, true, 0, RENEW_MILLIS + 1).orElseThrow();
     assertThat(again.epoch(), equalTo(1L));
     a.onRecord(again, RENEW_MILLIS + 10);
-    assertThat(a.next(false, true, 0, RENEW_MILLIS + 20).isPresent(), is(false));
+    assertThat(a.nextRecord(false, true, 0, RENEW_MILLIS + 20).isPresent(), is(false));
   }
 
   @Test
   void aClaimAfterDroppedRecordsUsesAnEpochAboveAllFormerOnes() {
     DutyLease c = lease("c");
     c.onGap(500);
-    Claimed claim = (Claimed) c.next(true, false, 0, 0).orElseThrow();
+    Claimed claim = (Claimed) c.nextRecord(true, false, 0, 0).orElseThrow();
     assertThat(claim.epoch(), equalTo(501L));
     c.onRecord(claim, 10);
     assertThat(c.isHolder(), is(true));
@@ -203,7 +203,7 @@
     c.onRecord(new Intended(5, "a", 1, 9, 0), 0);
     assertThat(c.holder(), equalTo("a"));
     assertThat(c.epoch(), equalTo(5L));
-    assertThat(((Claimed) c.next(true, false, 0, 1).orElseThrow()).epoch(), equalTo(502L));
+    assertThat(((Claimed) c.nextRecord(true, false, 0, 1).orElseThrow()).epoch(), equalTo(502L));
   }
 
   @Test
@@ -226,7 +226,7 @@
     // Sent by a node that had paused longer than the log's retention and had missed all records
     // since.
     c.onRecord(new Intended(1, "a", 1, 9, 0), 0);
-    Claimed claim = (Claimed) c.next(true, false, 0, 1).orElseThrow();
+    Claimed claim = (Claimed) c.nextRecord(true, false, 0, 1).orElseThrow();
     // The successor, whose records were dropped, may have used any epoch up to its own offset.
     assertThat(claim.epoch(), greaterThan(500L));
   }
@@ -234,7 +234,7 @@
   @Test
   void aHolderThatMissedRecordsMayNotOrderUnderItsEpoch() {
     DutyLease a = lease("a");
-    a.onRecord(a.next(true, false, 0, 0).orElseThrow(), 1);
+    a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     DutyRecord intent = next(a, 2).orElseThrow();
     a.onRecord(intent, 3);
     assertThat(a.mayAct(4), is(true));
@@ -243,7 +243,7 @@
     a.onRecord(new Intended(1, "a", 7, 2, 0), 6);
     assertThat(a.isHolder(), is(false));
     assertThat(a.mayAct(7), is(false));
-    Claimed claim = (Claimed) a.next(true, false, 0, 5_000).orElseThrow();
+    Claimed claim = (Claimed) a.nextRecord(true, false, 0, 5_000).orElseThrow();
     assertThat(claim.epoch(), equalTo(302L));
   }
 
@@ -348,7 +348,9 @@
         lease.onRecord(log.get(nextIndexByNode[node]++), now);
       }
       boolean holderAlive = random.nextInt(4) > 0;
-      lease.next(isNeeded(now), holderAlive, node, now).ifPresent(record -> send(record, now));
+      lease
+          .nextRecord(isNeeded(now), holderAlive, node, now)
+          .ifPresent(record -> send(record, now));
       return lease.mayAct(now) ? order(node, lease.epoch(), now) : 0;
     }
 
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -212,7 +212,7 @@
         heartbeats.isAccepting(lease.holder(), lease.holderIncarnation())
             || (lease.isFresh(now)
                 && !heartbeats.hasEnded(lease.holder(), lease.holderIncarnation()));
-    lease.next(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
+    lease.nextRecord(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
     if (lease.mayAct(now)) {
       duties.forEach(duty -> duty.act(now));
     }
