--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -247,7 +247,7 @@
   }
 
   /** Returns the record that releases the lease; empty if this node does not hold it. */
-  public Optional<DutyRecord> release() {
+  public Optional<DutyRecord> releaseRecord() {
     return isHolder()
         ? Optional.of(new DutyRecord.Released(epoch, node, incarnation))
         : Optional.empty();
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -165,7 +165,7 @@
     a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     a.onRecord(next(a, 2).orElseThrow(), 3);
     assertThat(a.mayAct(4), is(true));
-    a.onRecord(a.release().orElseThrow(), 5);
+    a.onRecord(a.releaseRecord().orElseThrow(), 5);
     assertThat(a.mayAct(6), is(false));
   }
 
@@ -334,8 +334,8 @@
         restart(node);
         return 0;
       }
-      if (random.nextInt(200) == 0 && lease.release().isPresent()) {
-        append(lease.release().orElseThrow(), now);
+      if (random.nextInt(200) == 0 && lease.releaseRecord().isPresent()) {
+        append(lease.releaseRecord().orElseThrow(), now);
         restart(node);
         return 0;
       }
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -122,7 +122,7 @@
     long sinceUnanswered = context.nowMillis() - lastUnansweredMillis;
     boolean allArrived = sinceUnanswered >= context.settings().lease().handOverMillis();
     if (isStopping && callsInFlight == 0 && allArrived) {
-      lease.release().ifPresent(this::append);
+      lease.releaseRecord().ifPresent(this::append);
     }
   }
 
