--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -254,7 +254,7 @@
   }
 
   /** Returns whether the holder has written recently, which shows that it is alive. */
-  public boolean isFresh(long nowMillis) {
+  public boolean isRecentlyActive(long nowMillis) {
     return nowMillis - lastRecordMillis < settings.claimAfterMillis();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -210,7 +210,7 @@
     HeartbeatTable heartbeats = members.heartbeats();
     boolean holderAlive =
         heartbeats.isAccepting(lease.holder(), lease.holderIncarnation())
-            || (lease.isFresh(now)
+            || (lease.isRecentlyActive(now)
                 && !heartbeats.hasEnded(lease.holder(), lease.holderIncarnation()));
     lease.nextRecord(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
     if (lease.mayAct(now)) {
