--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -264,7 +264,7 @@
   }
 
   /** Returns whether this node may send an order at this moment. */
-  public boolean mayAct(long nowMillis) {
+  public boolean mayOrder(long nowMillis) {
     return isHolder() && nowMillis >= notBeforeMillis && nowMillis < validUntilMillis;
   }
 
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -39,12 +39,12 @@
     assertThat(claim, instanceOf(Claimed.class));
     a.onRecord(claim, 10);
     DutyRecord intent = next(a, 20).orElseThrow();
-    assertThat(a.mayAct(25), is(false));
+    assertThat(a.mayOrder(25), is(false));
     a.onRecord(intent, 30);
-    assertThat(a.mayAct(30), is(true));
+    assertThat(a.mayOrder(30), is(true));
     // Counted from when the intent was sent, not from when it was read.
-    assertThat(a.mayAct(20 + VALID_MILLIS - 1), is(true));
-    assertThat(a.mayAct(20 + VALID_MILLIS), is(false));
+    assertThat(a.mayOrder(20 + VALID_MILLIS - 1), is(true));
+    assertThat(a.mayOrder(20 + VALID_MILLIS), is(false));
   }
 
   @Test
@@ -53,13 +53,13 @@
     a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 10);
     a.onRecord(next(a, 20).orElseThrow(), 30);
     DutyRecord underWay = next(a, 20 + VALID_MILLIS / 2 + 1).orElseThrow();
-    assertThat(a.mayAct(600), is(true));
+    assertThat(a.mayOrder(600), is(true));
     a.onClockJump();
-    assertThat(a.mayAct(600), is(false));
+    assertThat(a.mayOrder(600), is(false));
     a.onRecord(underWay, 610);
-    assertThat("sent before the gap", a.mayAct(610), is(false));
+    assertThat("sent before the gap", a.mayOrder(610), is(false));
     a.onRecord(next(a, 620).orElseThrow(), 630);
-    assertThat("sent since the gap", a.mayAct(630), is(true));
+    assertThat("sent since the gap", a.mayOrder(630), is(true));
   }
 
   @Test
@@ -72,8 +72,8 @@
     long from = 200 + VALID_MILLIS + HANDOVER_MILLIS;
     DutyRecord intent = next(b, from - 50).orElseThrow();
     b.onRecord(intent, from - 40);
-    assertThat(b.mayAct(from - 1), is(false));
-    assertThat(b.mayAct(from), is(true));
+    assertThat(b.mayOrder(from - 1), is(false));
+    assertThat(b.mayOrder(from), is(true));
     // The node had read two records when it claimed.
     assertThat(b.epoch(), equalTo(3L));
   }
@@ -86,7 +86,7 @@
     a.onRecord(new Claimed(2, "b", 3, 1), 3);
     a.onRecord(intent, 4);
     assertThat(a.isHolder(), is(false));
-    assertThat(a.mayAct(5), is(false));
+    assertThat(a.mayOrder(5), is(false));
   }
 
   @Test
@@ -125,8 +125,8 @@
     b.onRecord(b.nextRecord(true, false, 0, 310).orElseThrow(), 320);
     long from = 300 + HANDOVER_MILLIS;
     b.onRecord(next(b, from - 50).orElseThrow(), from - 40);
-    assertThat(b.mayAct(from - 1), is(false));
-    assertThat(b.mayAct(from), is(true));
+    assertThat(b.mayOrder(from - 1), is(false));
+    assertThat(b.mayOrder(from), is(true));
   }
 
   @Test
@@ -139,8 +139,8 @@
     c.onRecord(c.nextRecord(true, false, 0, 1_210).orElseThrow(), 1_220);
     long from = 1_000 + VALID_MILLIS + HANDOVER_MILLIS;
     c.onRecord(next(c, from - 50).orElseThrow(), from - 40);
-    assertThat(c.mayAct(from - 1), is(false));
-    assertThat(c.mayAct(from), is(true));
+    assertThat(c.mayOrder(from - 1), is(false));
+    assertThat(c.mayOrder(from), is(true));
   }
 
   @Test
@@ -152,11 +152,11 @@
     again.onRecord(new Intended(2, "a", 7, 1, VALID_MILLIS + HANDOVER_MILLIS + 10), 50_000);
     again.onRecord(again.nextRecord(true, false, 0, 50_010).orElseThrow(), 50_020);
     again.onRecord(next(again, 50_030).orElseThrow(), 50_040);
-    assertThat(again.mayAct(50_040), is(true));
+    assertThat(again.mayOrder(50_040), is(true));
     DutyLease other = new DutyLease("c", 8, SETTINGS);
     other.onRecord(new Claimed(2, "a", 7, 0), 50_000);
     other.onRecord(new Intended(2, "a", 7, 1, VALID_MILLIS + HANDOVER_MILLIS + 10), 50_000);
-    assertThat(other.mayAct(50_040), is(false));
+    assertThat(other.mayOrder(50_040), is(false));
   }
 
   @Test
@@ -164,9 +164,9 @@
     DutyLease a = lease("a");
     a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     a.onRecord(next(a, 2).orElseThrow(), 3);
-    assertThat(a.mayAct(4), is(true));
+    assertThat(a.mayOrder(4), is(true));
     a.onRecord(a.releaseRecord().orElseThrow(), 5);
-    assertThat(a.mayAct(6), is(false));
+    assertThat(a.mayOrder(6), is(false));
   }
 
   @Test
@@ -237,12 +237,12 @@
     a.onRecord(a.nextRecord(true, false, 0, 0).orElseThrow(), 1);
     DutyRecord intent = next(a, 2).orElseThrow();
     a.onRecord(intent, 3);
-    assertThat(a.mayAct(4), is(true));
+    assertThat(a.mayOrder(4), is(true));
     a.onGap(300);
-    assertThat(a.mayAct(5), is(false));
+    assertThat(a.mayOrder(5), is(false));
     a.onRecord(new Intended(1, "a", 7, 2, 0), 6);
     assertThat(a.isHolder(), is(false));
-    assertThat(a.mayAct(7), is(false));
+    assertThat(a.mayOrder(7), is(false));
     Claimed claim = (Claimed) a.nextRecord(true, false, 0, 5_000).orElseThrow();
     assertThat(claim.epoch(), equalTo(302L));
   }
@@ -351,7 +351,7 @@
       lease
           .nextRecord(isNeeded(now), holderAlive, node, now)
           .ifPresent(record -> send(record, now));
-      return lease.mayAct(now) ? order(node, lease.epoch(), now) : 0;
+      return lease.mayOrder(now) ? order(node, lease.epoch(), now) : 0;
     }
 
     /** While no order is due only the holder writes, to renew. */
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -84,7 +84,7 @@
 
   /** Returns whether the lease is valid now, so that a call may be sent. */
   boolean mayAct() {
-    return !isStopping && lease.mayAct(nowMillis());
+    return !isStopping && lease.mayOrder(nowMillis());
   }
 
   /** Returns the epoch of the lease, which is the fencing token of the holder's calls. */
@@ -213,7 +213,7 @@
             || (lease.isRecentlyActive(now)
                 && !heartbeats.hasEnded(lease.holder(), lease.holderIncarnation()));
     lease.nextRecord(needed, holderAlive, candidateRank(), now).ifPresent(this::append);
-    if (lease.mayAct(now)) {
+    if (lease.mayOrder(now)) {
       duties.forEach(duty -> duty.act(now));
     }
   }
