--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -26,7 +26,7 @@
    * Timing of the lease.
    *
    * @param validMillis time for which an intent allows orders, counted from when it was sent
-   * @param handOverMillis minimum time between orders of two nodes, including network delay
+   * @param handoverMillis minimum time between orders of two nodes, including network delay
    * @param releasedMillis the same after the former holder has released the lease
    * @param claimAfterMillis silence of a live holder after which another node may claim
    * @param rankMillis additional wait for each rank among the candidates
@@ -34,7 +34,7 @@
    */
   public record Settings(
       long validMillis,
-      long handOverMillis,
+      long handoverMillis,
       long releasedMillis,
       long claimAfterMillis,
       long rankMillis,
@@ -211,7 +211,7 @@
   }
 
   private long takeoverMillisAfter(long activeAtMillis) {
-    return activeAtMillis + settings.validMillis() + settings.handOverMillis();
+    return activeAtMillis + settings.validMillis() + settings.handoverMillis();
   }
 
   /**
@@ -226,7 +226,7 @@
   }
 
   private long silenceOfOthersMillis(long nowMillis) {
-    return nowMillis - latestTakeoverMillis() + settings.validMillis() + settings.handOverMillis();
+    return nowMillis - latestTakeoverMillis() + settings.validMillis() + settings.handoverMillis();
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -120,7 +120,7 @@
 
   private void releaseIfDone() {
     long sinceUnanswered = context.nowMillis() - lastUnansweredMillis;
-    boolean allArrived = sinceUnanswered >= context.settings().lease().handOverMillis();
+    boolean allArrived = sinceUnanswered >= context.settings().lease().handoverMillis();
     if (isStopping && callsInFlight == 0 && allArrived) {
       lease.releaseRecord().ifPresent(this::append);
     }
