--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -27,7 +27,7 @@
    *
    * @param validMillis time for which an intent allows orders, counted from when it was sent
    * @param handoverMillis minimum time between orders of two nodes, including network delay
-   * @param releasedMillis the same after the former holder has released the lease
+   * @param handoverAfterReleaseMillis the same after the former holder has released the lease
    * @param claimAfterMillis silence of a live holder after which another node may claim
    * @param rankMillis additional wait for each rank among the candidates
    * @param renewMillis time without a record of the holder after which it writes again
@@ -35,7 +35,7 @@
   public record Settings(
       long validMillis,
       long handoverMillis,
-      long releasedMillis,
+      long handoverAfterReleaseMillis,
       long claimAfterMillis,
       long rankMillis,
       long renewMillis) {}
@@ -185,7 +185,7 @@
   private void onRelease(DutyRecord.Released release, long nowMillis) {
     if (isOfHolder(release)) {
       validUntilMillis = NEVER_MILLIS;
-      earliestTakeoverMillis.put(release.node(), nowMillis + settings.releasedMillis());
+      earliestTakeoverMillis.put(release.node(), nowMillis + settings.handoverAfterReleaseMillis());
     }
   }
 
