--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -29,7 +29,7 @@
    * @param handoverMillis minimum time between orders of two nodes, including network delay
    * @param handoverAfterReleaseMillis the same after the former holder has released the lease
    * @param claimAfterMillis silence of a live holder after which another node may claim
-   * @param rankMillis additional wait for each rank among the candidates
+   * @param waitPerRankMillis additional wait for each rank among the candidates
    * @param renewMillis time without a record of the holder after which it writes again
    */
   public record Settings(
@@ -37,7 +37,7 @@
       long handoverMillis,
       long handoverAfterReleaseMillis,
       long claimAfterMillis,
-      long rankMillis,
+      long waitPerRankMillis,
       long renewMillis) {}
 
   private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
@@ -310,7 +310,7 @@
     if (nowMillis - claimSentMillis < CLAIM_RETRY_MILLIS) {
       return Optional.empty();
     }
-    long waitMillis = rank * settings.rankMillis();
+    long waitMillis = rank * settings.waitPerRankMillis();
     if (holderAlive) {
       waitMillis += settings.claimAfterMillis();
     }
