--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -30,7 +30,7 @@
    * @param handoverAfterReleaseMillis the same after the former holder has released the lease
    * @param claimAfterMillis silence of a live holder after which another node may claim
    * @param waitPerRankMillis additional wait for each rank among the candidates
-   * @param renewMillis time without a record of the holder after which it writes again
+   * @param renewAfterMillis time without a record of the holder after which it writes again
    */
   public record Settings(
       long validMillis,
@@ -38,7 +38,7 @@
       long handoverAfterReleaseMillis,
       long claimAfterMillis,
       long waitPerRankMillis,
-      long renewMillis) {}
+      long renewAfterMillis) {}
 
   private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
   private static final long CLAIM_RETRY_MILLIS = 1_000;
@@ -289,7 +289,7 @@
 
   /** Returns whether the holder must write before the log drops its last record. */
   private boolean isRenewalDue(long nowMillis) {
-    return isHolder() && nowMillis - lastRecordMillis >= settings.renewMillis();
+    return isHolder() && nowMillis - lastRecordMillis >= settings.renewAfterMillis();
   }
 
   private Optional<DutyRecord> nextIntent(long nowMillis) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -201,7 +201,7 @@
 
   /** Appends this node's claims again before the log's retention drops them. */
   private void renewClaims() {
-    long renewMillis = context.settings().lease().renewMillis();
+    long renewMillis = context.settings().lease().renewAfterMillis();
     for (JobRecord.RunClaimed claim :
         owners.renewals(renewMillis, this::positionOf, context.nowMillis())) {
       append(streamOf(claim.run()), List.of(Codec.encode(claim)))
