--- a/core/src/main/java/org/passhaven/core/lease/ClockWatch.java
+++ b/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
@@ -6,7 +6,7 @@
  * neither clock alone shows what has happened. A holder of a lease must stop acting at any jump, in
  * either direction. Not thread-safe.
  */
-public final class ClockWatch {
+public final class ClockJumpDetector {
   /**
    * Smaller differences are not jumps: the clocks are read one after the other, and the process may
    * be paused for some 100 ms in between. The safety margins of leases are larger than this.
--- a/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class ClockWatchTest {
-  private final ClockWatch detector = new ClockWatch();
+  private final ClockJumpDetector detector = new ClockJumpDetector();
 
   @Test
   void aSuspensionIsReportedOnce() {
@@ -29,6 +29,6 @@
     for (int i = 1; i < 100; i++) {
       assertThat(detector.look(11_000 + 100L * i, 910_000 + 101L * i), is(0L));
     }
-    assertThat(detector.look(21_000, 920_100 + ClockWatch.LEAST_GAP_MILLIS - 1 - 1), is(0L));
+    assertThat(detector.look(21_000, 920_100 + ClockJumpDetector.LEAST_GAP_MILLIS - 1 - 1), is(0L));
   }
 }
--- a/node/src/main/java/org/passhaven/node/WatchedTimers.java
+++ b/node/src/main/java/org/passhaven/node/WatchedTimers.java
@@ -1,7 +1,7 @@
 package org.passhaven.node;
 
 import java.util.Objects;
-import org.passhaven.core.lease.ClockWatch;
+import org.passhaven.core.lease.ClockJumpDetector;
 import org.passhaven.spi.ClockJumps;
 import org.passhaven.spi.Timers;
 import org.slf4j.Logger;
@@ -14,7 +14,7 @@
 public final class WatchedTimers implements Timers {
   private static final Logger LOG = LoggerFactory.getLogger(WatchedTimers.class);
   private final Timers timers;
-  private final ClockWatch watch = new ClockWatch();
+  private final ClockJumpDetector watch = new ClockJumpDetector();
   private ClockJumps gaps = ClockJumps.NONE;
 
   /** Watches the clocks of {@code timers}. */
