--- a/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
+++ b/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
@@ -22,7 +22,7 @@
    * @return by how much the time of day has moved ahead of the monotonic clock since the previous
    *     call, negative if it has fallen behind; zero if there is no jump
    */
-  public long look(long monotonicMillis, long timeOfDayMillis) {
+  public long check(long monotonicMillis, long timeOfDayMillis) {
     long offsetMillis = timeOfDayMillis - monotonicMillis;
     long jumpMillis = isFirst ? 0 : offsetMillis - previousOffsetMillis;
     isFirst = false;
--- a/node/src/main/java/org/passhaven/node/WatchedTimers.java
+++ b/node/src/main/java/org/passhaven/node/WatchedTimers.java
@@ -25,7 +25,7 @@
   @Override
   public long nowMillis() {
     long now = timers.nowMillis();
-    long gap = watch.look(now, timers.timeOfDayMillis());
+    long gap = watch.check(now, timers.timeOfDayMillis());
     if (gap != 0) {
       gaps = new ClockJumps(gaps.count() + 1, gaps.lostMillis() + Math.max(0, gap));
       LOG.atWarn().addKeyValue("gapMillis", gap).log("clock: the clocks have moved apart");
