--- a/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
+++ b/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
@@ -11,7 +11,7 @@
    * Smaller differences are not jumps: the clocks are read one after the other, and the process may
    * be paused for some 100 ms in between. The safety margins of leases are larger than this.
    */
-  public static final long LEAST_GAP_MILLIS = 200;
+  public static final long MIN_JUMP_MILLIS = 200;
 
   private boolean isFirst = true;
   private long previousOffsetMillis;
@@ -27,6 +27,6 @@
     long jumpMillis = isFirst ? 0 : offsetMillis - previousOffsetMillis;
     isFirst = false;
     previousOffsetMillis = offsetMillis;
-    return Math.abs(jumpMillis) >= LEAST_GAP_MILLIS ? jumpMillis : 0;
+    return Math.abs(jumpMillis) >= MIN_JUMP_MILLIS ? jumpMillis : 0;
   }
 }
--- a/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
@@ -29,7 +29,6 @@
     for (int i = 1; i < 100; i++) {
       assertThat(detector.check(11_000 + 100L * i, 910_000 + 101L * i), is(0L));
     }
-    assertThat(
-        detector.check(21_000, 920_100 + ClockJumpDetector.LEAST_GAP_MILLIS - 1 - 1), is(0L));
+    assertThat(detector.check(21_000, 920_100 + ClockJumpDetector.MIN_JUMP_MILLIS - 1 - 1), is(0L));
   }
 }
