--- a/core/src/test/java/org/passhaven/core/lease/ClockWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/ClockJumpDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class ClockWatchTest {
+class ClockJumpDetectorTest {
   private final ClockJumpDetector detector = new ClockJumpDetector();
 
   @Test
