--- a/core/src/main/java/org/passhaven/core/lease/LeaseTerms.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
@@ -15,8 +15,8 @@
  * @param drift bound on the drift of two monotonic clocks within one term
  * @param renewEvery time between renewals of an idle holder
  */
-public record LeaseTerms(Duration term, Duration drift, Duration renewEvery) {
-  public LeaseTerms {
+public record LeaseTiming(Duration term, Duration drift, Duration renewEvery) {
+  public LeaseTiming {
     Objects.requireNonNull(term, "term");
     if (drift.multipliedBy(2).plus(renewEvery).compareTo(term) >= 0) {
       throw new IllegalArgumentException("term must exceed renewEvery plus twice drift");
--- a/core/src/main/java/org/passhaven/core/lease/LeaseWatch.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseWatch.java
@@ -8,7 +8,7 @@
  * own. Not thread-safe.
  */
 public final class LeaseWatch {
-  private final LeaseTerms terms;
+  private final LeaseTiming terms;
   private long epoch;
   private boolean isOwnClaim;
   private boolean isReleased;
@@ -19,7 +19,7 @@
   private long ignoredUntilMillis = Long.MIN_VALUE;
 
   /** Creates the state of a lease without a known holder. */
-  public LeaseWatch(LeaseTerms terms, long nowMillis) {
+  public LeaseWatch(LeaseTiming terms, long nowMillis) {
     this.terms = Objects.requireNonNull(terms, "terms");
     this.lastReadAtMillis = nowMillis;
   }
--- a/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseWatchTest {
-  private static final LeaseTerms TERMS =
-      new LeaseTerms(Duration.ofMillis(6_000), Duration.ofMillis(500), Duration.ofMillis(2_000));
+  private static final LeaseTiming TERMS =
+      new LeaseTiming(Duration.ofMillis(6_000), Duration.ofMillis(500), Duration.ofMillis(2_000));
 
   @Test
   void holderStopsBeforeOthersMayClaim() {
@@ -53,7 +53,7 @@
     assertThrows(
         IllegalArgumentException.class,
         () ->
-            new LeaseTerms(
+            new LeaseTiming(
                 Duration.ofMillis(1_000), Duration.ofMillis(400), Duration.ofMillis(200)));
   }
 
--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Objects;
-import org.passhaven.core.lease.LeaseTerms;
+import org.passhaven.core.lease.LeaseTiming;
 import org.passhaven.core.membership.MembershipSettings;
 import org.passhaven.core.routing.DispatchPolicy;
 import org.passhaven.protocol.NodeId;
@@ -32,7 +32,7 @@
     String zone,
     String address,
     List<String> seeds,
-    LeaseTerms lease,
+    LeaseTiming lease,
     MembershipSettings membership,
     Duration tick,
     Duration machineListPeriod,
@@ -58,7 +58,7 @@
         zone,
         address,
         seeds,
-        new LeaseTerms(Duration.ofSeconds(6), Duration.ofMillis(500), Duration.ofSeconds(2)),
+        new LeaseTiming(Duration.ofSeconds(6), Duration.ofMillis(500), Duration.ofSeconds(2)),
         MembershipSettings.DEFAULT,
         Duration.ofMillis(100),
         Duration.ofSeconds(1),
