--- a/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
@@ -13,12 +13,12 @@
  *
  * @param term duration of one renewal
  * @param drift bound on the drift of two monotonic clocks within one term
- * @param renewEvery time between renewals of an idle holder
+ * @param renewInterval time between renewals of an idle holder
  */
-public record LeaseTiming(Duration term, Duration drift, Duration renewEvery) {
+public record LeaseTiming(Duration term, Duration drift, Duration renewInterval) {
   public LeaseTiming {
     Objects.requireNonNull(term, "term");
-    if (drift.multipliedBy(2).plus(renewEvery).compareTo(term) >= 0) {
+    if (drift.multipliedBy(2).plus(renewInterval).compareTo(term) >= 0) {
       throw new IllegalArgumentException("term must exceed renewEvery plus twice drift");
     }
   }
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -178,7 +178,7 @@
   @Override
   public void onLogBack(long downMillis) {
     // The holder could not renew either: it gets a whole term before anybody else may claim.
-    if (downMillis > context.settings().lease().renewEvery().toMillis()) {
+    if (downMillis > context.settings().lease().renewInterval().toMillis()) {
       lease.onLogBack(now());
     }
   }
@@ -249,7 +249,8 @@
   }
 
   private void renewIfDue() {
-    boolean due = now() - lastRenewalMillis >= context.settings().lease().renewEvery().toMillis();
+    boolean due =
+        now() - lastRenewalMillis >= context.settings().lease().renewInterval().toMillis();
     if (due && !renewing) {
       renewing = true;
       lastRenewalMillis = now();
