--- a/core/src/main/java/org/passhaven/core/lease/LeaseWatch.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseState.java
@@ -7,7 +7,7 @@
  * when it may claim. It is updated with the records that the node reads and has no clock of its
  * own. Not thread-safe.
  */
-public final class LeaseWatch {
+public final class LeaseState {
   private final LeaseTiming terms;
   private long epoch;
   private boolean isOwnClaim;
@@ -19,7 +19,7 @@
   private long ignoredUntilMillis = Long.MIN_VALUE;
 
   /** Creates the state of a lease without a known holder. */
-  public LeaseWatch(LeaseTiming terms, long nowMillis) {
+  public LeaseState(LeaseTiming terms, long nowMillis) {
     this.terms = Objects.requireNonNull(terms, "terms");
     this.lastReadAtMillis = nowMillis;
   }
--- a/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
@@ -12,8 +12,8 @@
 
   @Test
   void holderStopsBeforeOthersMayClaim() {
-    LeaseWatch holder = new LeaseWatch(TERMS, 0);
-    LeaseWatch other = new LeaseWatch(TERMS, 0);
+    LeaseState holder = new LeaseState(TERMS, 0);
+    LeaseState other = new LeaseState(TERMS, 0);
     holder.onClaimRead(1, true, 1_000, 900);
     other.onClaimRead(1, false, 1_000, 1_000);
     long lastAct = 900 + 6_000 - 500 - 1;
@@ -25,7 +25,7 @@
 
   @Test
   void aRenewalCountsFromTheTimeOfSending() {
-    LeaseWatch holder = new LeaseWatch(TERMS, 0);
+    LeaseState holder = new LeaseState(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     holder.onFencedRead(9_000, 2_000);
     assertThat("until 7500", holder.mayAct(7_499) && !holder.mayAct(7_500));
@@ -33,7 +33,7 @@
 
   @Test
   void anOwnClaimIsNeverClaimedAgain() {
-    LeaseWatch holder = new LeaseWatch(TERMS, 0);
+    LeaseState holder = new LeaseState(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     assertThat(
         "an expired own claim stays valid until another is read", !holder.mayClaim(1_000_000, 0));
@@ -41,7 +41,7 @@
 
   @Test
   void aReleasedLeaseIsClaimedInOrderOfRank() {
-    LeaseWatch other = new LeaseWatch(TERMS, 0);
+    LeaseState other = new LeaseState(TERMS, 0);
     other.onClaimRead(1, false, 1_000, 1_000);
     other.onReleasedRead();
     assertThat("first rank at once", other.mayClaim(1_000, 0));
@@ -59,7 +59,7 @@
 
   @Test
   void aClockJumpSuspendsTheHolderUntilALaterRecordIsRead() {
-    LeaseWatch holder = new LeaseWatch(TERMS, 0);
+    LeaseState holder = new LeaseState(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     assertThat("acts", holder.mayAct(100));
     holder.onClockGap(100);
@@ -71,7 +71,7 @@
     assertThat("sent at the time of the jump", !holder.mayAct(120));
     holder.onFencedRead(150, 130);
     assertThat("sent since the jump", holder.mayAct(150));
-    LeaseWatch other = new LeaseWatch(TERMS, 0);
+    LeaseState other = new LeaseState(TERMS, 0);
     other.onClaimRead(1, false, 1_000, 1_000);
     other.onClockGap(1_100);
     assertThat("a jump does not shorten the wait", !other.mayClaim(1_000 + 6_000 - 1, 0));
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.passhaven.core.configuration.ConfigurationSnapshot;
 import org.passhaven.core.configuration.TrainerSettings;
-import org.passhaven.core.lease.LeaseWatch;
+import org.passhaven.core.lease.LeaseState;
 import org.passhaven.core.run.AttemptId;
 import org.passhaven.core.run.RunAction;
 import org.passhaven.core.run.RunCoordinator;
@@ -50,7 +50,7 @@
   private final EngineDirectory engines;
   private final SampleScorer scorer;
   private final StreamClient stream;
-  private final LeaseWatch lease;
+  private final LeaseState lease;
   private long clockGapsSeen;
   private final GenerationRunner generations;
   private final PullQueue pulls;
@@ -82,7 +82,7 @@
     this.engines = Objects.requireNonNull(engines, "engines");
     this.scorer = Objects.requireNonNull(scorer, "scorer");
     this.stream = new StreamClient(context, shard.stream(), this, READ_WAIT_MILLIS);
-    this.lease = new LeaseWatch(context.settings().lease(), context.timers().nowMillis());
+    this.lease = new LeaseState(context.settings().lease(), context.timers().nowMillis());
     this.clockGapsSeen = context.timers().clockJumps().count();
     this.generations = new GenerationRunner(context, engines, new GenerationListener());
     this.pulls = new PullQueue(context.timers());
