--- a/core/src/main/java/org/passhaven/core/lease/LeaseState.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseState.java
@@ -50,7 +50,7 @@
    * Handles a clock jump: the lease may have expired. The holder may act again once a record that
    * it sends from now on has been read.
    */
-  public void onClockGap(long nowMillis) {
+  public void onClockJump(long nowMillis) {
     holderStopsAtMillis = Long.MIN_VALUE;
     ignoredUntilMillis = nowMillis;
   }
--- a/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
@@ -62,7 +62,7 @@
     LeaseState holder = new LeaseState(TERMS, 0);
     holder.onClaimRead(1, true, 0, 0);
     assertThat("acts", holder.mayAct(100));
-    holder.onClockGap(100);
+    holder.onClockJump(100);
     assertThat("stops at the jump", !holder.mayAct(100));
     holder.onFencedRead(120, 90);
     assertThat("sent before the jump", !holder.mayAct(120));
@@ -73,7 +73,7 @@
     assertThat("sent since the jump", holder.mayAct(150));
     LeaseState other = new LeaseState(TERMS, 0);
     other.onClaimRead(1, false, 1_000, 1_000);
-    other.onClockGap(1_100);
+    other.onClockJump(1_100);
     assertThat("a jump does not shorten the wait", !other.mayClaim(1_000 + 6_000 - 1, 0));
   }
 }
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -449,7 +449,7 @@
     long gaps = context.timers().clockJumps().count();
     if (gaps != clockGapsSeen) {
       clockGapsSeen = gaps;
-      lease.onClockGap(now);
+      lease.onClockJump(now);
     }
     return now;
   }
