--- a/core/src/main/java/org/passhaven/core/lease/LeaseState.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseState.java
@@ -65,7 +65,7 @@
    * Restarts the wait for the holder's records after a log outage, during which its silence means
    * nothing.
    */
-  public void onLogBack(long nowMillis) {
+  public void onLogRecovered(long nowMillis) {
     lastReadAtMillis = Math.max(lastReadAtMillis, nowMillis);
   }
 
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -179,7 +179,7 @@
   public void onLogBack(long downMillis) {
     // The holder could not renew either: it gets a whole term before anybody else may claim.
     if (downMillis > context.settings().lease().renewInterval().toMillis()) {
-      lease.onLogBack(now());
+      lease.onLogRecovered(now());
     }
   }
 
