--- a/core/src/test/java/org/passhaven/core/lease/LeaseWatchTest.java
+++ b/core/src/test/java/org/passhaven/core/lease/LeaseStateTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class LeaseWatchTest {
+class LeaseStateTest {
   private static final LeaseTiming TERMS =
       new LeaseTiming(Duration.ofMillis(6_000), Duration.ofMillis(500), Duration.ofMillis(2_000));
 
