--- a/core/src/main/java/org/passhaven/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipSettings.java
@@ -9,10 +9,10 @@
  * @param suspectAfter silence of a probed node after which it is suspected
  * @param deadAfter time in which a suspected node must send a higher heartbeat, else it counts as
  *     dead
- * @param newsPerMessage maximum number of updates about other nodes in one message
+ * @param maxUpdatesPerMessage maximum number of updates about other nodes in one message
  */
 public record MembershipSettings(
-    Duration period, Duration suspectAfter, Duration deadAfter, int newsPerMessage) {
+    Duration period, Duration suspectAfter, Duration deadAfter, int maxUpdatesPerMessage) {
   /** Defaults for a fleet of up to several hundred nodes. */
   public static final MembershipSettings DEFAULT =
       new MembershipSettings(
--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -218,7 +218,7 @@
             .sorted(
                 Map.Entry.<NodeId, Integer>comparingByValue()
                     .thenComparing(Map.Entry.comparingByKey()))
-            .limit(settings.newsPerMessage())
+            .limit(settings.maxUpdatesPerMessage())
             .map(Map.Entry::getKey)
             .toList();
     List<MemberState> updates = new ArrayList<>();
