--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -73,7 +73,7 @@
   /**
    * Adds a node named by the platform's list or the settings; its own messages replace this entry.
    */
-  public void introduce(NodeId node, String address, String zone, long nowMillis) {
+  public void addSeed(NodeId node, String address, String zone, long nowMillis) {
     if (!node.equals(self.node()) && !members.containsKey(node)) {
       MemberState state = new MemberState(node, address, zone, 0, 0, Status.ALIVE, 0);
       members.put(node, new MemberEntry(state, nowMillis));
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -80,7 +80,7 @@
     long now = context.timers().nowMillis();
     for (Machine machine : machines) {
       if (machine.kind() == MachineList.Kind.NODE && machine.state() == MachineList.State.LIVE) {
-        table.introduce(new NodeId(machine.id()), machine.address(), machine.zone(), now);
+        table.addSeed(new NodeId(machine.id()), machine.address(), machine.zone(), now);
       } else if (machine.kind() == MachineList.Kind.NODE) {
         table.withdraw(new NodeId(machine.id()), now);
       }
