--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -81,7 +81,7 @@
   }
 
   /** Suspects a node that the platform's list no longer names. */
-  public void withdraw(NodeId node, long nowMillis) {
+  public void onUnlisted(NodeId node, long nowMillis) {
     MemberEntry entry = members.get(node);
     if (entry != null && entry.state.status() == Status.ALIVE) {
       changeState(entry, entry.state.withStatus(Status.SUSPECT), nowMillis);
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -82,7 +82,7 @@
       if (machine.kind() == MachineList.Kind.NODE && machine.state() == MachineList.State.LIVE) {
         table.addSeed(new NodeId(machine.id()), machine.address(), machine.zone(), now);
       } else if (machine.kind() == MachineList.Kind.NODE) {
-        table.withdraw(new NodeId(machine.id()), now);
+        table.onUnlisted(new NodeId(machine.id()), now);
       }
     }
     notifyIfChanged();
