--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -66,7 +66,7 @@
   }
 
   /** Marks this node as leaving because a planned shutdown begins. */
-  public void setLeaving() {
+  public void markLeaving() {
     self = withHeartbeat(self, self.heartbeat() + 1).withStatus(Status.LEAVING);
   }
 
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -69,7 +69,7 @@
 
   /** Tells a few members that this node leaves. */
   public void announceLeaving() {
-    table.setLeaving();
+    table.markLeaving();
     for (int i = 0; i < 3; i++) {
       table.nextTarget().ifPresent(this::beat);
     }
