--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -210,7 +210,7 @@
   /**
    * Returns the updates for the next message, the least often sent first, and counts them as sent.
    */
-  public List<MemberState> takeNews() {
+  public List<MemberState> takeUpdates() {
     int sends =
         DISSEMINATION_FACTOR * (Integer.SIZE - Integer.numberOfLeadingZeros(members.size() + 1));
     List<NodeId> chosen =
--- a/core/src/test/java/org/passhaven/core/membership/MembershipTableTest.java
+++ b/core/src/test/java/org/passhaven/core/membership/MembershipTableTest.java
@@ -60,7 +60,8 @@
   void suspicionOfThisNodeIsRefuted() {
     table.onMessage(state("b", 1, 1, Status.ALIVE), List.of(state("a", 1, 7, Status.SUSPECT)), 0);
     assertThat(table.self().heartbeat(), equalTo(8L));
-    assertThat(table.takeNews().stream().map(MemberState::node).toList(), hasItem(new NodeId("a")));
+    assertThat(
+        table.takeUpdates().stream().map(MemberState::node).toList(), hasItem(new NodeId("a")));
   }
 
   @Test
@@ -68,7 +69,7 @@
     table.onMessage(state("b", 1, 1, Status.ALIVE), List.of(), 0);
     int sends = 0;
     for (int i = 0; i < 100; i++) {
-      sends += table.takeNews().size();
+      sends += table.takeUpdates().size();
     }
     assertThat(sends, equalTo(6));
   }
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -95,7 +95,7 @@
   }
 
   private void beat(MemberState target) {
-    send(target, new PeerRequest.Gossip(table.self(), table.takeNews()))
+    send(target, new PeerRequest.Gossip(table.self(), table.takeUpdates()))
         .subscribe()
         .with(response -> onAnswer(response), failure -> askHelper(target));
   }
@@ -141,7 +141,7 @@
   public PeerResponse onGossip(PeerRequest.Gossip gossip) {
     table.onMessage(gossip.sender(), gossip.news(), context.timers().nowMillis());
     notifyIfChanged();
-    return new PeerResponse.GossipAnswer(table.self(), table.takeNews());
+    return new PeerResponse.GossipAnswer(table.self(), table.takeUpdates());
   }
 
   /** A node asks whether this one reaches another. */
