--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -180,7 +180,7 @@
   }
 
   /** Returns a member to ask for an indirect probe of {@code target}. */
-  public Optional<MemberState> helperFor(NodeId target) {
+  public Optional<MemberState> indirectProbeHelper(NodeId target) {
     List<MemberState> helpers =
         alive().stream()
             .filter(state -> !state.node().equals(target) && !state.node().equals(self.node()))
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -101,7 +101,7 @@
   }
 
   private void askHelper(MemberState target) {
-    var helper = table.helperFor(target.node());
+    var helper = table.indirectProbeHelper(target.node());
     if (helper.isEmpty()) {
       table.onUnreachable(target.node(), context.timers().nowMillis());
       return;
