--- a/core/src/main/java/org/passhaven/core/admission/ServedShare.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServedShare.java
@@ -17,12 +17,12 @@
 
   /** Counts an arrived request. */
   void onArrived(long nowMillis) {
-    arrived.mark(nowMillis);
+    arrived.recordEvent(nowMillis);
   }
 
   /** Counts a sent request. */
   void onSent(long nowMillis) {
-    sent.mark(nowMillis);
+    sent.recordEvent(nowMillis);
   }
 
   /** Returns the current share, from zero to one; one if no request has arrived recently. */
--- a/core/src/main/java/org/passhaven/core/request/RateMeter.java
+++ b/core/src/main/java/org/passhaven/core/request/RateMeter.java
@@ -16,7 +16,7 @@
   }
 
   /** Counts one event. */
-  public void mark(long nowMillis) {
+  public void recordEvent(long nowMillis) {
     decay(nowMillis);
     perSecond += MILLIS_PER_SECOND / WINDOW_MILLIS;
   }
--- a/core/src/test/java/org/passhaven/core/request/RateMeterTest.java
+++ b/core/src/test/java/org/passhaven/core/request/RateMeterTest.java
@@ -11,7 +11,7 @@
   void aSteadyRateIsMeasured() {
     RateMeter meter = new RateMeter(0);
     for (long now = 0; now <= 60_000; now += 50) {
-      meter.mark(now);
+      meter.recordEvent(now);
     }
     assertThat(meter.perSecond(60_000), closeTo(20, 0.5));
   }
@@ -20,7 +20,7 @@
   void theRateDecaysWhenEventsStop() {
     RateMeter meter = new RateMeter(0);
     for (long now = 0; now <= 20_000; now += 50) {
-      meter.mark(now);
+      meter.recordEvent(now);
     }
     assertThat(meter.perSecond(50_000), lessThan(0.1));
   }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -146,7 +146,7 @@
 
     void start() {
       inProgress++;
-      requestRate.mark(context.nowMillis());
+      requestRate.recordEvent(context.nowMillis());
       deadlineTimer = context.timers().after(call.deadlineMillis(), this::onDeadline);
       slot.acquire(this);
     }
