--- a/core/src/main/java/org/passhaven/core/admission/FairQueue.java
+++ b/core/src/main/java/org/passhaven/core/admission/FairQueue.java
@@ -105,17 +105,17 @@
     int longest = flows.values().stream().mapToInt(flow -> flow.waiting.size()).max().orElse(0);
     int[] upTo = new int[longest];
     for (Flow flow : flows.values()) {
-      for (int place = 0; place < flow.waiting.size(); place++) {
-        upTo[place]++;
+      for (int position = 0; position < flow.waiting.size(); position++) {
+        upTo[position]++;
       }
     }
-    for (int place = 1; place < longest; place++) {
-      upTo[place] += upTo[place - 1];
+    for (int position = 1; position < longest; position++) {
+      upTo[position] += upTo[position - 1];
     }
     for (Flow flow : flows.values()) {
-      int place = 0;
+      int position = 0;
       for (AdmissionRequest request : flow.waiting) {
-        positions.add(new QueuePosition(request, before + upTo[place++] - 1));
+        positions.add(new QueuePosition(request, before + upTo[position++] - 1));
       }
     }
   }
--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -230,13 +230,13 @@
    * ended, when servers have changed, and every {@link #SWEEP_INTERVAL_MILLIS} while requests wait.
    */
   public List<WaitingDecision> decideWaiting(long nowMillis) {
-    List<WaitingDecision> changes = new ArrayList<>();
-    sendWhileSlotsAreFree(changes, nowMillis);
-    rejectUnservable(changes, nowMillis);
-    return changes;
+    List<WaitingDecision> decisions = new ArrayList<>();
+    sendWhileSlotsAreFree(decisions, nowMillis);
+    rejectUnservable(decisions, nowMillis);
+    return decisions;
   }
 
-  private void sendWhileSlotsAreFree(List<WaitingDecision> changes, long nowMillis) {
+  private void sendWhileSlotsAreFree(List<WaitingDecision> decisions, long nowMillis) {
     while (limit.slots() > 0 && queue.size() > 0) {
       Optional<AdmissionRequest> position =
           queue.poll(source -> hasSlot(source, nowMillis), nowMillis);
@@ -245,13 +245,13 @@
       }
       waitUntilMillis.remove(position.get().id());
       start(position.get(), nowMillis);
-      changes.add(new WaitingDecision(position.get(), new AdmissionDecision.Send()));
+      decisions.add(new WaitingDecision(position.get(), new AdmissionDecision.Send()));
     }
   }
 
-  private void rejectUnservable(List<WaitingDecision> changes, long nowMillis) {
+  private void rejectUnservable(List<WaitingDecision> decisions, long nowMillis) {
     while (queue.size() > MAX_WAITING) {
-      rejectWaiting(queue.firstToReject(), Reason.QUEUE_FULL, changes, nowMillis);
+      rejectWaiting(queue.firstToReject(), Reason.QUEUE_FULL, decisions, nowMillis);
     }
     if (nowMillis < sweepAtMillis) {
       return;
@@ -263,17 +263,17 @@
       // Rejections earlier in this loop shorten the wait of later requests: check again.
       if (rejectionReason(request, position.ahead(), waitUntil, nowMillis).isPresent()) {
         rejectionReason(request, waitUntil, nowMillis)
-            .ifPresent(reason -> rejectWaiting(request, reason, changes, nowMillis));
+            .ifPresent(reason -> rejectWaiting(request, reason, decisions, nowMillis));
       }
     }
   }
 
   private void rejectWaiting(
-      AdmissionRequest request, Reason reason, List<WaitingDecision> changes, long nowMillis) {
-    Reject verdict = reject(request, reason, nowMillis);
+      AdmissionRequest request, Reason reason, List<WaitingDecision> decisions, long nowMillis) {
+    Reject rejection = reject(request, reason, nowMillis);
     queue.remove(request);
     waitUntilMillis.remove(request.id());
-    changes.add(new WaitingDecision(request, verdict));
+    decisions.add(new WaitingDecision(request, rejection));
   }
 
   /** Limits the wait of requests because the node has begun to shut down. */
@@ -283,9 +283,9 @@
 
   /** Rejects all waiting requests because the node shuts down now. */
   public List<WaitingDecision> rejectAllWaiting(long nowMillis) {
-    List<WaitingDecision> changes = new ArrayList<>();
-    queue.all().forEach(request -> rejectWaiting(request, Reason.STOPPING, changes, nowMillis));
-    return changes;
+    List<WaitingDecision> decisions = new ArrayList<>();
+    queue.all().forEach(request -> rejectWaiting(request, Reason.STOPPING, decisions, nowMillis));
+    return decisions;
   }
 
   /** Returns the current load figures for logs and metrics. */
--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -196,25 +196,25 @@
    * too many, those with the fewest server crashes, the oldest first.
    */
   public List<String> requestsToRemove(long nowMillis) {
-    List<String> due = new ArrayList<>();
+    List<String> toRemove = new ArrayList<>();
     suspects.forEach(
         (fingerprint, suspect) -> {
           if (nowMillis - suspect.changedMillis >= EXPIRY_MILLIS) {
-            due.add(fingerprint);
+            toRemove.add(fingerprint);
           }
         });
-    int tooMany = suspects.size() - due.size() - MAX_SUSPECTS;
+    int tooMany = suspects.size() - toRemove.size() - MAX_SUSPECTS;
     if (tooMany > 0) {
       suspects.entrySet().stream()
-          .filter(entry -> !due.contains(entry.getKey()))
+          .filter(entry -> !toRemove.contains(entry.getKey()))
           .sorted(
               Comparator.comparingInt((Map.Entry<String, Suspect> entry) -> entry.getValue().rank())
                   .thenComparingLong(entry -> entry.getValue().changedMillis)
                   .thenComparing(Map.Entry::getKey))
           .limit(tooMany)
           .map(Map.Entry::getKey)
-          .forEach(due::add);
+          .forEach(toRemove::add);
     }
-    return due;
+    return toRemove;
   }
 }
--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -271,20 +271,20 @@
   /**
    * Returns the record to append now, if any.
    *
-   * @param needed whether an order is due
-   * @param holderAlive whether the holder is a live node that accepts work
+   * @param isNeeded whether an order is due
+   * @param isHolderAlive whether the holder is a live node that accepts work
    * @param rank rank of this node among the candidates, from zero
    */
   public Optional<DutyRecord> nextRecord(
-      boolean needed, boolean holderAlive, int rank, long nowMillis) {
-    if (!needed) {
+      boolean isNeeded, boolean isHolderAlive, int rank, long nowMillis) {
+    if (!isNeeded) {
       neededSinceMillis = NEVER_MILLIS;
       return isRenewalDue(nowMillis) ? nextIntent(nowMillis) : Optional.empty();
     }
     if (neededSinceMillis == NEVER_MILLIS) {
       neededSinceMillis = nowMillis;
     }
-    return isHolder() ? nextIntent(nowMillis) : nextClaim(holderAlive, rank, nowMillis);
+    return isHolder() ? nextIntent(nowMillis) : nextClaim(isHolderAlive, rank, nowMillis);
   }
 
   /** Returns whether the holder must write before the log drops its last record. */
@@ -306,16 +306,16 @@
             epoch, node, incarnation, number, silenceOfOthersMillis(nowMillis)));
   }
 
-  private Optional<DutyRecord> nextClaim(boolean holderAlive, int rank, long nowMillis) {
+  private Optional<DutyRecord> nextClaim(boolean isHolderAlive, int rank, long nowMillis) {
     if (nowMillis - claimSentMillis < CLAIM_RETRY_MILLIS) {
       return Optional.empty();
     }
     long waitMillis = rank * settings.waitPerRankMillis();
-    if (holderAlive) {
+    if (isHolderAlive) {
       waitMillis += settings.claimAfterMillis();
     }
     long silentSinceMillis =
-        holderAlive ? Math.max(neededSinceMillis, lastRecordMillis) : neededSinceMillis;
+        isHolderAlive ? Math.max(neededSinceMillis, lastRecordMillis) : neededSinceMillis;
     if (nowMillis - silentSinceMillis < waitMillis) {
       return Optional.empty();
     }
--- a/core/src/main/java/org/passhaven/core/lease/LeaseState.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseState.java
@@ -8,7 +8,7 @@
  * own. Not thread-safe.
  */
 public final class LeaseState {
-  private final LeaseTiming terms;
+  private final LeaseTiming timing;
   private long epoch;
   private boolean isOwnClaim;
   private boolean isReleased;
@@ -19,8 +19,8 @@
   private long ignoredUntilMillis = Long.MIN_VALUE;
 
   /** Creates the state of a lease without a known holder. */
-  public LeaseState(LeaseTiming terms, long nowMillis) {
-    this.terms = Objects.requireNonNull(terms, "terms");
+  public LeaseState(LeaseTiming timing, long nowMillis) {
+    this.timing = Objects.requireNonNull(timing, "timing");
     this.lastReadAtMillis = nowMillis;
   }
 
@@ -42,7 +42,7 @@
 
   private void extend(long sentAtMillis) {
     if (isOwnClaim && sentAtMillis > ignoredUntilMillis) {
-      holderStopsAtMillis = Math.max(holderStopsAtMillis, terms.holderStopsAt(sentAtMillis));
+      holderStopsAtMillis = Math.max(holderStopsAtMillis, timing.holderStopsAt(sentAtMillis));
     }
   }
 
@@ -103,6 +103,6 @@
     if (epoch == 0 || isReleased) {
       return nowMillis >= lastReadAtMillis + extraWaitMillis;
     }
-    return nowMillis >= terms.claimableAt(lastReadAtMillis) + extraWaitMillis;
+    return nowMillis >= timing.claimableAt(lastReadAtMillis) + extraWaitMillis;
   }
 }
--- a/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
@@ -19,7 +19,7 @@
   public LeaseTiming {
     Objects.requireNonNull(term, "term");
     if (drift.multipliedBy(2).plus(renewInterval).compareTo(term) >= 0) {
-      throw new IllegalArgumentException("term must exceed renewEvery plus twice drift");
+      throw new IllegalArgumentException("term must exceed renewInterval plus twice drift");
     }
   }
 
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -248,17 +248,17 @@
     return recentlyStarted.subList(0, Math.min(MAX_FIRST_NODES, recentlyStarted.size()));
   }
 
-  private static List<Member> rank(String key, List<MemberBeat> beats) {
-    LargeNodes largeNodes = LargeNodes.among(beats);
-    List<Member> ranked = new ArrayList<>(rankByRendezvous(key, beats, largeNodes::contains));
-    ranked.addAll(rankByRendezvous(key, beats, heartbeat -> !largeNodes.contains(heartbeat)));
+  private static List<Member> rank(String key, List<MemberBeat> heartbeats) {
+    LargeNodes largeNodes = LargeNodes.among(heartbeats);
+    List<Member> ranked = new ArrayList<>(rankByRendezvous(key, heartbeats, largeNodes::contains));
+    ranked.addAll(rankByRendezvous(key, heartbeats, heartbeat -> !largeNodes.contains(heartbeat)));
     return ranked;
   }
 
   private static List<Member> rankByRendezvous(
-      String key, List<MemberBeat> beats, Predicate<MemberBeat> selected) {
+      String key, List<MemberBeat> heartbeats, Predicate<MemberBeat> selected) {
     List<Member> candidates =
-        beats.stream()
+        heartbeats.stream()
             .filter(selected)
             .map(heartbeat -> new Member(heartbeat.node(), heartbeat.zone()))
             .toList();
--- a/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
+++ b/core/src/main/java/org/passhaven/core/order/ConcurrentLoadLimit.java
@@ -11,10 +11,12 @@
 public record ConcurrentLoadLimit(int minConcurrentLoads, double maxServerShare) {
   public ConcurrentLoadLimit {
     if (minConcurrentLoads < 1) {
-      throw new IllegalArgumentException("minAtOnce must be at least 1, not " + minConcurrentLoads);
+      throw new IllegalArgumentException(
+          "minConcurrentLoads must be at least 1, not " + minConcurrentLoads);
     }
     if (!(maxServerShare >= 0 && maxServerShare <= 1)) {
-      throw new IllegalArgumentException("shareAtOnce must be from 0 to 1, not " + maxServerShare);
+      throw new IllegalArgumentException(
+          "maxServerShare must be from 0 to 1, not " + maxServerShare);
     }
   }
 
--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -47,16 +47,16 @@
             .toList();
     Map<ServerIncarnation, Set<String>> placed =
         placement.place(reachable, demand.newestVersions().keySet(), demand.openItems());
-    List<WeightLoad> due = new ArrayList<>();
+    List<WeightLoad> dueLoads = new ArrayList<>();
     for (ServerEntry server : reachable) {
       for (String model : new TreeSet<>(placed.getOrDefault(server.incarnation(), Set.of()))) {
         long version = demand.newestVersions().get(model);
         if (server.versionOf(model) < version && !loading.containsKey(server.incarnation())) {
-          due.add(new WeightLoad(server, model, version));
+          dueLoads.add(new WeightLoad(server, model, version));
         }
       }
     }
-    return due;
+    return dueLoads;
   }
 
   /** Returns whether a load is due or in progress. */
@@ -76,15 +76,15 @@
         .removeIf(start -> servers.stream().noneMatch(s -> s.incarnation().equals(start)));
     List<WeightLoad> started = new ArrayList<>();
     while (true) {
-      List<WeightLoad> due =
+      List<WeightLoad> dueLoads =
           dueLoads(servers, demand, nowMillis).stream()
               .filter(load -> mayStart(load.server(), servers, nowMillis))
               .toList();
-      if (due.isEmpty()) {
+      if (dueLoads.isEmpty()) {
         return started;
       }
       WeightLoad next =
-          due.stream()
+          dueLoads.stream()
               .min(
                   Comparator.comparingLong((WeightLoad load) -> countLoadedOrLoading(servers, load))
                       .thenComparing(load -> load.server().versionOf(load.model()))
--- a/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
@@ -24,7 +24,7 @@
               + windowMillis
               + ", fixAfterMillis is "
               + fixAfterMillis
-              + ", mostTellsPerSecond is "
+              + ", maxPublishesPerSecond is "
               + maxPublishesPerSecond);
     }
   }
--- a/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/passhaven/core/admission/ServiceAdmissionTest.java
@@ -63,19 +63,19 @@
   }
 
   private AdmissionDecision offer(AdmissionRequest request) {
-    AdmissionDecision verdict = admission.decide(request, now);
-    note(request, verdict);
-    return verdict;
+    AdmissionDecision decision = admission.decide(request, now);
+    note(request, decision);
+    return decision;
   }
 
   private AdmissionDecision offer(String tenant, Source source, int priority) {
     return offer(request(tenant, source, priority, DEADLINE_MILLIS));
   }
 
-  private void note(AdmissionRequest request, AdmissionDecision verdict) {
-    if (verdict instanceof Send) {
+  private void note(AdmissionRequest request, AdmissionDecision decision) {
+    if (decision instanceof Send) {
       running.add(request);
-    } else if (verdict instanceof Reject) {
+    } else if (decision instanceof Reject) {
       rejected.merge(kindOf(request), 1, Integer::sum);
     }
   }
@@ -85,9 +85,9 @@
   }
 
   private List<WaitingDecision> next() {
-    List<WaitingDecision> changes = admission.decideWaiting(now);
-    changes.forEach(change -> note(change.request(), change.decision()));
-    return changes;
+    List<WaitingDecision> decisions = admission.decideWaiting(now);
+    decisions.forEach(change -> note(change.request(), change.decision()));
+    return decisions;
   }
 
   /** Ends the request that was sent first and returns the resulting decisions. */
@@ -245,8 +245,8 @@
   void requestsThatCannotMeetTheirDeadlineAreRejectedAtOnce() {
     fill(Source.CALLER);
     simulate(200, () -> fill(Source.CALLER));
-    AdmissionDecision verdict = offer(request("a", Source.CALLER, 2, 30));
-    assertThat(((Reject) verdict).reason(), is(Reason.TOO_LATE));
+    AdmissionDecision decision = offer(request("a", Source.CALLER, 2, 30));
+    assertThat(((Reject) decision).reason(), is(Reason.TOO_LATE));
   }
 
   /** Response times measured minutes ago, when servers were slow, must not cause rejections now. */
@@ -263,11 +263,11 @@
 
   @Test
   void requestsAreRejectedIfTheWaitExceedsAThirdOfTheirTime() {
-    AdmissionDecision verdict = new Wait();
-    for (int i = 0; !(verdict instanceof Reject) && i < 1_000; i++) {
-      verdict = offer(request("a", Source.CALLER, 2, 500));
+    AdmissionDecision decision = new Wait();
+    for (int i = 0; !(decision instanceof Reject) && i < 1_000; i++) {
+      decision = offer(request("a", Source.CALLER, 2, 500));
     }
-    Reject reject = (Reject) verdict;
+    Reject reject = (Reject) decision;
     assertThat(reject.reason(), is(Reason.TOO_LONG));
     assertThat(
         reject.retryAfterMillis(),
@@ -279,9 +279,9 @@
     fill(Source.CALLER);
     int waiting = admission.load(now).waiting();
     now += DEADLINE_MILLIS / 3;
-    List<WaitingDecision> changes = next();
-    assertThat(changes, hasSize(waiting));
-    assertThat(((Reject) changes.get(0).decision()).reason(), is(Reason.TOO_LONG));
+    List<WaitingDecision> decisions = next();
+    assertThat(decisions, hasSize(waiting));
+    assertThat(((Reject) decisions.get(0).decision()).reason(), is(Reason.TOO_LONG));
   }
 
   @Test
@@ -291,13 +291,13 @@
     int waiting = admission.load(now).waiting();
     List<AdmissionRequest> sent = List.copyOf(running);
     admission.onServers(0, 0, now);
-    List<WaitingDecision> changes = next();
-    assertThat(changes, hasSize(waiting));
-    changes.forEach(
+    List<WaitingDecision> decisions = next();
+    assertThat(decisions, hasSize(waiting));
+    decisions.forEach(
         change -> assertThat(((Reject) change.decision()).reason(), is(Reason.NO_SERVER)));
     assertThat(offer("a", Source.CALLER, 2), instanceOf(Reject.class));
     assertThat(List.copyOf(running), equalTo(sent));
-    changes.forEach(change -> assertThat(sent.contains(change.request()), is(false)));
+    decisions.forEach(change -> assertThat(sent.contains(change.request()), is(false)));
   }
 
   @Test
@@ -308,10 +308,10 @@
     }
     int before = admission.load(now).waiting();
     admission.onServers(1, 1, now);
-    List<WaitingDecision> changes = next();
-    assertThat(changes, not(empty()));
-    assertThat(changes.size(), lessThan(before));
-    changes.forEach(change -> assertThat(change.decision(), instanceOf(Reject.class)));
+    List<WaitingDecision> decisions = next();
+    assertThat(decisions, not(empty()));
+    assertThat(decisions.size(), lessThan(before));
+    decisions.forEach(change -> assertThat(change.decision(), instanceOf(Reject.class)));
   }
 
   @Test
@@ -357,18 +357,18 @@
     admission.beginShutdown(now);
     assertThat(next(), empty());
     now += 1_000;
-    List<WaitingDecision> changes = next();
-    assertThat(changes, hasSize(1));
+    List<WaitingDecision> decisions = next();
+    assertThat(decisions, hasSize(1));
     assertThat(offer("a", Source.SCORING, 2), instanceOf(Reject.class));
   }
 
   @Test
   void shutdownRejectsWaitingRequestsButNotSentOnes() {
     fill(Source.SCORING);
-    List<WaitingDecision> changes = admission.rejectAllWaiting(now);
-    assertThat(changes, hasSize(1));
-    assertThat(((Reject) changes.get(0).decision()).reason(), is(Reason.STOPPING));
-    assertThat(running.contains(changes.get(0).request()), is(false));
+    List<WaitingDecision> decisions = admission.rejectAllWaiting(now);
+    assertThat(decisions, hasSize(1));
+    assertThat(((Reject) decisions.get(0).decision()).reason(), is(Reason.STOPPING));
+    assertThat(running.contains(decisions.get(0).request()), is(false));
     assertThat(admission.load(now).inProgress(), equalTo(LIMIT));
   }
 
@@ -381,9 +381,9 @@
     int maxWaiting = admission.load(now).waiting();
     AdmissionRequest other = request("quiet", Source.SCORING, 2, 60_000);
     assertThat(offer(other), instanceOf(Wait.class));
-    List<WaitingDecision> changes = next();
-    assertThat(changes, hasSize(1));
-    assertThat(changes.get(0).request().tenant(), equalTo("flood"));
+    List<WaitingDecision> decisions = next();
+    assertThat(decisions, hasSize(1));
+    assertThat(decisions.get(0).request().tenant(), equalTo("flood"));
     assertThat(admission.load(now).waiting(), equalTo(maxWaiting));
   }
 }
--- a/core/src/test/java/org/passhaven/core/admission/SharedServers.java
+++ b/core/src/test/java/org/passhaven/core/admission/SharedServers.java
@@ -213,10 +213,10 @@
         send(submitted);
         return;
       }
-      AdmissionDecision verdict = admission.decide(item.request(), now);
-      if (verdict instanceof AdmissionDecision.Send) {
+      AdmissionDecision decision = admission.decide(item.request(), now);
+      if (decision instanceof AdmissionDecision.Send) {
         send(submitted);
-      } else if (verdict instanceof AdmissionDecision.Reject reject) {
+      } else if (decision instanceof AdmissionDecision.Reject reject) {
         results.rejects++;
         onRefused.accept(reject.retryAfterMillis());
       } else {
@@ -226,9 +226,9 @@
     }
 
     private void pump() {
-      for (WaitingDecision change : admission.decideWaiting(now)) {
-        Waiting submitted = waiting.remove(change.request().id());
-        if (change.decision() instanceof AdmissionDecision.Reject reject) {
+      for (WaitingDecision waitingDecision : admission.decideWaiting(now)) {
+        Waiting submitted = waiting.remove(waitingDecision.request().id());
+        if (waitingDecision.decision() instanceof AdmissionDecision.Reject reject) {
           results.rejects++;
           submitted.onRefused().accept(reject.retryAfterMillis());
         } else {
@@ -254,10 +254,11 @@
               server.take(
                   submitted.item().workMillis(),
                   isServed ->
-                      schedule(LINK_MILLIS, () -> onAnswer(submitted, server, isServed, sentAt))));
+                      schedule(
+                          LINK_MILLIS, () -> onResponse(submitted, server, isServed, sentAt))));
     }
 
-    private void onAnswer(Waiting submitted, Server server, boolean isServed, long sentAt) {
+    private void onResponse(Waiting submitted, Server server, boolean isServed, long sentAt) {
       own.merge(server, -1, Integer::sum);
       AdmissionRequest request = submitted.item().request();
       if (isServed) {
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -65,9 +65,9 @@
       if (crash == 3) {
         thirdAt = now;
       }
-      RunDecision verdict = table.decide(CRASHING, now);
-      if (verdict instanceof RunDecision.Quarantined held) {
-        now = held.untilMillis();
+      RunDecision decision = table.decide(CRASHING, now);
+      if (decision instanceof RunDecision.Quarantined quarantined) {
+        now = quarantined.untilMillis();
         recordTrial(
             CRASHING, ((RunDecision.TrialDue) table.decide(CRASHING, now)).number(), "n", now);
         sentAfterThird += crash >= 3 && now <= thirdAt + 180_000 ? 1 : 0;
--- a/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
+++ b/core/src/test/java/org/passhaven/core/duty/DutyLeaseTest.java
@@ -57,9 +57,9 @@
     a.onClockJump();
     assertThat(a.mayOrder(600), is(false));
     a.onRecord(underWay, 610);
-    assertThat("sent before the gap", a.mayOrder(610), is(false));
+    assertThat("sent before the jump", a.mayOrder(610), is(false));
     a.onRecord(next(a, 620).orElseThrow(), 630);
-    assertThat("sent since the gap", a.mayOrder(630), is(true));
+    assertThat("sent since the jump", a.mayOrder(630), is(true));
   }
 
   @Test
@@ -347,9 +347,9 @@
       while (nextIndexByNode[node] < log.size() && (readsAll || random.nextInt(3) > 0)) {
         lease.onRecord(log.get(nextIndexByNode[node]++), now);
       }
-      boolean holderAlive = random.nextInt(4) > 0;
+      boolean isHolderAlive = random.nextInt(4) > 0;
       lease
-          .nextRecord(isNeeded(now), holderAlive, node, now)
+          .nextRecord(isNeeded(now), isHolderAlive, node, now)
           .ifPresent(record -> send(record, now));
       return lease.mayOrder(now) ? order(node, lease.epoch(), now) : 0;
     }
--- a/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
+++ b/core/src/test/java/org/passhaven/core/member/HeartbeatTableTest.java
@@ -14,8 +14,9 @@
 class HeartbeatTableTest {
   private final HeartbeatTable table = new HeartbeatTable(1_500);
 
-  private static MemberBeat heartbeat(String node, String zone, long incarnation, boolean taking) {
-    return new MemberBeat(node, node + ":1", zone, incarnation, taking, 0, 0, 0, 0);
+  private static MemberBeat heartbeat(
+      String node, String zone, long incarnation, boolean isAccepting) {
+    return new MemberBeat(node, node + ":1", zone, incarnation, isAccepting, 0, 0, 0, 0);
   }
 
   @Test
@@ -236,7 +237,7 @@
   void noNodeIsDeadBecauseTheLogWasDown() {
     table.onHeartbeat(heartbeat("a", "z", 1, true), 0);
     table.onHeartbeat(heartbeat("b", "z", 1, true), 100);
-    // Nothing is read for a minute, then the first beat of one node.
+    // Nothing is read for a minute, then the first heartbeat of one node.
     table.onHeartbeat(heartbeat("a", "z", 1, true), 60_000);
     assertThat(table.isAccepting("a"), is(true));
   }
