--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -59,18 +59,18 @@
   }
 
   /** Decision on whether a request may run now. */
-  public sealed interface RunDecision {
+  public sealed interface RequestDecision {
     /** The request is not suspected. */
-    record Unsuspected() implements RunDecision {}
+    record Unsuspected() implements RequestDecision {}
 
     /** A server has crashed during the request; it may run, but at only one server at a time. */
-    record SingleServer() implements RunDecision {}
+    record SingleServer() implements RequestDecision {}
 
     /** The request must not run before the given time. */
-    record Quarantined(long untilMillis) implements RunDecision {}
+    record Quarantined(long untilMillis) implements RequestDecision {}
 
     /** The request may run if this node is the first to claim the trial with this number. */
-    record TrialDue(int number) implements RunDecision {}
+    record TrialDue(int number) implements RequestDecision {}
   }
 
   /** Returns whether no request is suspected. */
@@ -121,18 +121,18 @@
   }
 
   /** Decides whether a request may run. */
-  public RunDecision decide(String fingerprint, long nowMillis) {
+  public RequestDecision decide(String fingerprint, long nowMillis) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect == null) {
-      return new RunDecision.Unsuspected();
+      return new RequestDecision.Unsuspected();
     }
     if (suspect.servers.size() < QUARANTINE_CRASHES) {
-      return new RunDecision.SingleServer();
+      return new RequestDecision.SingleServer();
     }
     long until = suspect.changedMillis + pauseMillis(suspect.rank());
     return nowMillis < until
-        ? new RunDecision.Quarantined(until)
-        : new RunDecision.TrialDue(suspect.trials + 1);
+        ? new RequestDecision.Quarantined(until)
+        : new RequestDecision.TrialDue(suspect.trials + 1);
   }
 
   private static long pauseMillis(int rank) {
--- a/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/passhaven/core/crash/CrashTableTest.java
@@ -11,7 +11,7 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.passhaven.core.crash.CrashTable.RunDecision;
+import org.passhaven.core.crash.CrashTable.RequestDecision;
 import org.passhaven.protocol.crash.CrashNote;
 
 class CrashTableTest {
@@ -33,9 +33,9 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "a", 5);
-    assertThat(table.decide(CRASHING, 10), instanceOf(RunDecision.SingleServer.class));
-    assertThat(table.decide(CONCURRENT, 10), instanceOf(RunDecision.SingleServer.class));
-    assertThat(table.decide("other", 10), instanceOf(RunDecision.Unsuspected.class));
+    assertThat(table.decide(CRASHING, 10), instanceOf(RequestDecision.SingleServer.class));
+    assertThat(table.decide(CONCURRENT, 10), instanceOf(RequestDecision.SingleServer.class));
+    assertThat(table.decide("other", 10), instanceOf(RequestDecision.Unsuspected.class));
   }
 
   @Test
@@ -43,16 +43,16 @@
     recordCrash(CRASHING, "a", 0);
     recordCrash(CRASHING, "b", 100);
     long first = 100 + CrashTable.FIRST_PAUSE_MILLIS;
-    assertThat(table.decide(CRASHING, 101), equalTo(new RunDecision.Quarantined(first)));
-    assertThat(table.decide(CRASHING, first), equalTo(new RunDecision.TrialDue(1)));
+    assertThat(table.decide(CRASHING, 101), equalTo(new RequestDecision.Quarantined(first)));
+    assertThat(table.decide(CRASHING, first), equalTo(new RequestDecision.TrialDue(1)));
     recordTrial(CRASHING, 1, "n", first);
     assertThat(
         table.decide(CRASHING, first),
-        equalTo(new RunDecision.Quarantined(first + 3 * (first - 100))));
+        equalTo(new RequestDecision.Quarantined(first + 3 * (first - 100))));
     recordCrash(CRASHING, "c", first + 50);
     assertThat(
         table.decide(CRASHING, first + 60),
-        equalTo(new RunDecision.Quarantined(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
+        equalTo(new RequestDecision.Quarantined(first + 50 + 9 * CrashTable.FIRST_PAUSE_MILLIS)));
   }
 
   @Test
@@ -65,17 +65,17 @@
       if (crash == 3) {
         thirdAt = now;
       }
-      RunDecision decision = table.decide(CRASHING, now);
-      if (decision instanceof RunDecision.Quarantined quarantined) {
+      RequestDecision decision = table.decide(CRASHING, now);
+      if (decision instanceof RequestDecision.Quarantined quarantined) {
         now = quarantined.untilMillis();
         recordTrial(
-            CRASHING, ((RunDecision.TrialDue) table.decide(CRASHING, now)).number(), "n", now);
+            CRASHING, ((RequestDecision.TrialDue) table.decide(CRASHING, now)).number(), "n", now);
         sentAfterThird += crash >= 3 && now <= thirdAt + 180_000 ? 1 : 0;
       }
     }
     assertThat(sentAfterThird, lessThanOrEqualTo(3));
-    assertThat(table.decide(CRASHING, now), instanceOf(RunDecision.Quarantined.class));
-    long pause = ((RunDecision.Quarantined) table.decide(CRASHING, now)).untilMillis() - now;
+    assertThat(table.decide(CRASHING, now), instanceOf(RequestDecision.Quarantined.class));
+    long pause = ((RequestDecision.Quarantined) table.decide(CRASHING, now)).untilMillis() - now;
     assertThat(pause, lessThanOrEqualTo(CrashTable.MAX_PAUSE_MILLIS));
   }
 
@@ -83,10 +83,10 @@
   void aSuccessfulRunClearsARequestThatRanDuringTwoCrashes() {
     recordCrash(CONCURRENT, "a", 0);
     recordCrash(CONCURRENT, "b", 10);
-    assertThat(table.decide(CONCURRENT, 20), instanceOf(RunDecision.Quarantined.class));
+    assertThat(table.decide(CONCURRENT, 20), instanceOf(RequestDecision.Quarantined.class));
     assertThat(table.keysOf(CONCURRENT), hasSize(2));
     table.remove(CONCURRENT);
-    assertThat(table.decide(CONCURRENT, 20), instanceOf(RunDecision.Unsuspected.class));
+    assertThat(table.decide(CONCURRENT, 20), instanceOf(RequestDecision.Unsuspected.class));
     assertThat(table.isEmpty(), is(true));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -3,7 +3,7 @@
 import io.smallrye.mutiny.Uni;
 import java.util.Objects;
 import org.passhaven.core.backend.ServerEntry;
-import org.passhaven.core.crash.CrashTable.RunDecision;
+import org.passhaven.core.crash.CrashTable.RequestDecision;
 import org.passhaven.core.forward.ForwardPlan.Outcome;
 import org.passhaven.spi.BackEndService.Call;
 
@@ -46,8 +46,8 @@
     if (crashes.hasNoSuspects() || isInTrial) {
       return true;
     }
-    RunDecision verdict = crashes.verdict(fingerprint());
-    if (verdict instanceof RunDecision.TrialDue due && !isRunning) {
+    RequestDecision verdict = crashes.verdict(fingerprint());
+    if (verdict instanceof RequestDecision.TrialDue due && !isRunning) {
       isClaiming = true;
       crashes
           .claimTrial(fingerprint(), due.number())
@@ -55,14 +55,15 @@
           .with(ignored -> onClaimed(whenClaimed));
     }
     updateHeldBack(verdict);
-    return verdict instanceof RunDecision.Unsuspected
-        || (verdict instanceof RunDecision.SingleServer && !isRunning);
+    return verdict instanceof RequestDecision.Unsuspected
+        || (verdict instanceof RequestDecision.SingleServer && !isRunning);
   }
 
-  private void updateHeldBack(RunDecision verdict) {
+  private void updateHeldBack(RequestDecision verdict) {
     isHeldBack =
-        verdict instanceof RunDecision.Quarantined || verdict instanceof RunDecision.TrialDue;
-    if (verdict instanceof RunDecision.Quarantined held) {
+        verdict instanceof RequestDecision.Quarantined
+            || verdict instanceof RequestDecision.TrialDue;
+    if (verdict instanceof RequestDecision.Quarantined held) {
       heldUntilMillis = held.untilMillis();
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -12,7 +12,7 @@
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerIncarnation;
 import org.passhaven.core.crash.CrashTable;
-import org.passhaven.core.crash.CrashTable.RunDecision;
+import org.passhaven.core.crash.CrashTable.RequestDecision;
 import org.passhaven.core.crash.RequestFingerprint;
 import org.passhaven.node.follow.TableFollower;
 import org.passhaven.protocol.Codec;
@@ -85,7 +85,7 @@
   }
 
   /** Returns whether and how a request may run now. */
-  RunDecision verdict(String fingerprint) {
+  RequestDecision verdict(String fingerprint) {
     return table.decide(fingerprint, context.nowMillis());
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -2,7 +2,7 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import org.passhaven.core.crash.CrashTable.RunDecision;
+import org.passhaven.core.crash.CrashTable.RequestDecision;
 import org.passhaven.core.job.ItemGate;
 import org.passhaven.core.job.JobAction;
 import org.passhaven.protocol.job.JobItem;
@@ -36,15 +36,15 @@
     if (crashes.takeTrial(fingerprint)) {
       return true;
     }
-    RunDecision verdict = crashes.verdict(fingerprint);
-    if (verdict instanceof RunDecision.TrialDue due && pendingClaims.add(fingerprint)) {
+    RequestDecision verdict = crashes.verdict(fingerprint);
+    if (verdict instanceof RequestDecision.TrialDue due && pendingClaims.add(fingerprint)) {
       crashes
           .claimTrial(fingerprint, due.number())
           .subscribe()
           .with(ignored -> onClaimed(fingerprint));
     }
-    return verdict instanceof RunDecision.Unsuspected
-        || verdict instanceof RunDecision.SingleServer;
+    return verdict instanceof RequestDecision.Unsuspected
+        || verdict instanceof RequestDecision.SingleServer;
   }
 
   private void onClaimed(String fingerprint) {
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.passhaven.core.backend.ServerEntry;
 import org.passhaven.core.backend.ServerIncarnation;
-import org.passhaven.core.crash.CrashTable.RunDecision;
+import org.passhaven.core.crash.CrashTable.RequestDecision;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
 import org.passhaven.protocol.Codec;
@@ -119,7 +119,7 @@
     crashServers(second, "b");
     CrashTracker third = node("o");
     for (CrashTracker node : List.of(first, second, third)) {
-      assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+      assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
     }
   }
 
@@ -159,7 +159,7 @@
     addEntry(serverStartedAt("a", 3_100));
     addEntry(serverStartedAt("b", 3_200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -181,7 +181,7 @@
     interrupt(node, serverStartedAt("a", 100));
     interrupt(node, serverStartedAt("a", 200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -234,7 +234,7 @@
     removeEntry("a");
     addEntry(new ServerEntry(ServerIncarnation.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -244,11 +244,11 @@
     CrashTracker second = node("m");
     store.isDown = true;
     crashServers(first, "a", "b");
-    assertThat(first.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+    assertThat(first.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
     assertThat(second.hasNoSuspects(), is(true));
     store.isDown = false;
     timers.advance(400);
-    assertThat(second.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class));
+    assertThat(second.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -262,7 +262,8 @@
     long taken = nodes.stream().filter(node -> node.takeTrial(FINGERPRINT)).count();
     assertThat(taken, equalTo(1L));
     nodes.forEach(
-        node -> assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.Quarantined.class)));
+        node ->
+            assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class)));
   }
 
   @Test
@@ -307,7 +308,7 @@
     }
     timers.advance(30_000);
     assertThat(store.currentValues("crashes").size(), equalTo(1_000 + 1));
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RunDecision.TrialDue.class));
+    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.TrialDue.class));
     timers.advance(1_300_000);
     assertThat(node.hasNoSuspects(), is(true));
     assertThat(store.currentValues("crashes").size(), equalTo(0));
