--- a/core/src/main/java/org/passhaven/core/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionDecision.java
@@ -14,8 +14,9 @@
   record Wait() implements AdmissionDecision {}
 
   /**
-   * The request has not run and can't be served in time.
+   * The request is rejected and has not run.
    *
+   * @param reason why the request is rejected
    * @param retryAfterMillis time after which the caller is likely to find a free slot
    */
   record Reject(Reason reason, long retryAfterMillis) implements AdmissionDecision {
@@ -30,9 +31,12 @@
     NO_SERVER("no server"),
     /** The response is expected after the deadline. */
     TOO_LATE("too little time is left to wait"),
-    /** The expected wait would leave the caller no time for a retry. */
+    /**
+     * The expected wait would leave the caller no time for a retry, or is too long for a node that
+     * is shutting down.
+     */
     TOO_LONG("the queue is too long"),
-    /** The queue is full and only requests that go before this one are in it. */
+    /** The queue is full, and this request is the first to be rejected from it. */
     QUEUE_FULL("the queue is full"),
     /** This node is shutting down. */
     STOPPING("the node is stopping");
--- a/core/src/main/java/org/passhaven/core/admission/AdmissionQueue.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionQueue.java
@@ -10,16 +10,17 @@
 import org.passhaven.core.admission.AdmissionRequest.Source;
 
 /**
- * Queue of requests that wait for a free slot at a service, in strict order of priority; within one
- * priority callers go before scorings. To prevent starvation, a class (priority and source) whose
- * share of sent requests has fallen far below the overall share goes first until it has recovered.
- * This never serves a less urgent class better than a more urgent one. Times are in monotonic
+ * Queue of requests that wait for a free slot at a service, in order of priority; within one
+ * priority callers go before scorings, and within one source the flows of tenants and routes take
+ * turns. To prevent starvation, a class (the requests of one priority and source) whose share of
+ * sent requests has fallen far below the overall share goes first until it has recovered. This
+ * never serves a less urgent class better than a more urgent one. Times are in monotonic
  * milliseconds. Not thread-safe.
  */
 final class AdmissionQueue {
   /**
    * A class is starving if its share of sent requests is below this fraction of the overall share.
-   * The required minimum is a quarter; half leaves a margin.
+   * No class may fall below a quarter of the overall share; half leaves a margin.
    */
   private static final double STARVING_FRACTION_OF_OVERALL_SHARE = 0.5;
 
@@ -91,20 +92,20 @@
    * Removes and returns the next request among the sources that have a free slot; empty if there is
    * none.
    */
-  Optional<AdmissionRequest> poll(Predicate<Source> hasPlace, long nowMillis) {
+  Optional<AdmissionRequest> poll(Predicate<Source> hasFreeSlot, long nowMillis) {
     List<ClassQueue> available =
         queues.entrySet().stream()
-            .filter(each -> hasPlace.test(each.getKey().source()))
+            .filter(each -> hasFreeSlot.test(each.getKey().source()))
             .map(Map.Entry::getValue)
             .filter(queue -> queue.flows.size() > 0)
             .toList();
-    Optional<ClassQueue> position =
+    Optional<ClassQueue> next =
         available.stream()
             .filter(queue -> isStarving(queue, nowMillis))
             .min(Comparator.comparingDouble(queue -> queue.share.current(nowMillis)))
             .or(() -> available.stream().findFirst());
-    position.ifPresent(queue -> size--);
-    return position.map(queue -> queue.flows.poll());
+    next.ifPresent(queue -> size--);
+    return next.map(queue -> queue.flows.poll());
   }
 
   private boolean isStarving(ClassQueue queue, long nowMillis) {
@@ -113,7 +114,8 @@
   }
 
   /**
-   * Returns the number of waiting requests that go before this one, which need not be in the queue.
+   * Estimates the number of waiting requests that go before this one, which need not be in the
+   * queue. Other classes that are starving are not considered.
    */
   int countAhead(AdmissionRequest request, long nowMillis) {
     AdmissionClass admissionClass = AdmissionClass.of(request);
@@ -122,9 +124,9 @@
     if (isStarving(own, nowMillis)) {
       return aheadInClass;
     }
-    int before =
+    int aheadInOtherClasses =
         queues.headMap(admissionClass).values().stream().mapToInt(e -> e.flows.size()).sum();
-    return aheadInClass + before;
+    return aheadInClass + aheadInOtherClasses;
   }
 
   /**
@@ -133,10 +135,10 @@
    */
   List<FairQueue.QueuePosition> positions(long nowMillis) {
     List<FairQueue.QueuePosition> positions = new ArrayList<>(size);
-    int before = 0;
+    int aheadInOtherClasses = 0;
     for (ClassQueue queue : queues.values()) {
-      queue.flows.addPositions(isStarving(queue, nowMillis) ? 0 : before, positions);
-      before += queue.flows.size();
+      queue.flows.addPositions(isStarving(queue, nowMillis) ? 0 : aheadInOtherClasses, positions);
+      aheadInOtherClasses += queue.flows.size();
     }
     return positions;
   }
--- a/core/src/main/java/org/passhaven/core/admission/AdmissionRequest.java
+++ b/core/src/main/java/org/passhaven/core/admission/AdmissionRequest.java
@@ -3,14 +3,15 @@
 import java.util.Objects;
 
 /**
- * Properties of a request that decide on its admission.
+ * Properties of a request on which its admission depends.
  *
  * @param id unique among the requests of this node
  * @param service service whose servers run the request
  * @param route route of the request; requests of one route take about equally long
  * @param tenant tenant that the request runs for; empty if there are no tenants
- * @param source who sends the request
- * @param priority priority of the tenant, or else of the route; 0 is the most urgent
+ * @param source sender of the request
+ * @param priority priority of the tenant, or of the route if the tenant has none; 0 is the most
+ *     urgent
  * @param deadlineMillis time at which the caller stops waiting, in monotonic milliseconds
  */
 public record AdmissionRequest(
@@ -21,7 +22,7 @@
     Source source,
     int priority,
     long deadlineMillis) {
-  /** Sender of a request; within one priority the first constant goes before the second. */
+  /** Sender of a request; within one priority callers go before scorings. */
   public enum Source {
     /** A caller that holds a connection open. */
     CALLER,
--- a/core/src/main/java/org/passhaven/core/admission/RetryAfter.java
+++ b/core/src/main/java/org/passhaven/core/admission/RetryAfter.java
@@ -5,15 +5,20 @@
 
 /** Computes the time after which the caller of a rejected request may retry. */
 final class RetryAfter {
-  /** Minimum: servers need this long to serve some requests, so an earlier retry gains nothing. */
+  /**
+   * Minimum delay. Servers need this long to serve some requests, so an earlier retry gains
+   * nothing.
+   */
   static final long MIN_MILLIS = 100;
 
-  /** The maximum is the caller's remaining time divided by this; callers ignore longer times. */
+  /**
+   * The maximum delay is the caller's remaining time divided by this; callers ignore longer delays.
+   */
   private static final int TIME_LEFT_DIVISOR = 3;
 
   /**
-   * Highest priority number with a delay of its own: each priority retries half a drain time after
-   * the one before.
+   * Highest priority number with its own delay: each priority retries half a drain time later than
+   * the next more urgent one; higher numbers are treated like this one.
    */
   private static final int MAX_PRIORITY = 4;
 
--- a/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
+++ b/core/src/main/java/org/passhaven/core/admission/ServiceAdmission.java
@@ -17,7 +17,10 @@
  * response times. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ServiceAdmission {
-  /** Bounds the memory of the queue; far more requests than can be served in time. */
+  /**
+   * Maximum number of waiting requests. It bounds the memory of the queue and is far more than can
+   * be served in time.
+   */
   private static final int MAX_WAITING = 256;
 
   /**
@@ -32,7 +35,10 @@
    */
   private static final long MAX_WAIT_STOPPING_MILLIS = 1_000;
 
-  /** Maximum retry time given to callers during an outage: servers restart within seconds. */
+  /**
+   * Maximum expected duration of an outage, from which retry times are computed: servers restart
+   * within seconds.
+   */
   private static final long MAX_OUTAGE_RETRY_MILLIS = 2_000;
 
   /** Interval of the checks of waiting requests; short compared with a response time. */
@@ -103,9 +109,9 @@
       return new AdmissionDecision.Send();
     }
     long waitUntil = waitUntilMillis(request, nowMillis);
-    Optional<Reason> hopeless = rejectionReason(request, waitUntil, nowMillis);
-    if (hopeless.isPresent()) {
-      return reject(request, hopeless.get(), nowMillis);
+    Optional<Reason> reason = rejectionReason(request, waitUntil, nowMillis);
+    if (reason.isPresent()) {
+      return reject(request, reason.get(), nowMillis);
     }
     queue.add(request);
     if (queue.size() > MAX_WAITING && queue.firstToReject().equals(request)) {
@@ -128,7 +134,8 @@
   }
 
   /**
-   * Callers may always use half of the slots in addition, even while scorings occupy all of them.
+   * Returns whether a request may be sent now. Callers may exceed the limit until they use half of
+   * the slots, so that scorings can't keep them out.
    */
   private boolean hasSlot(Source source, long nowMillis) {
     return inFlight.size() < limit.current(nowMillis)
@@ -162,7 +169,10 @@
         : Optional.empty();
   }
 
-  /** Returns the expected time until a request is sent that waits or would wait. */
+  /**
+   * Returns the expected time until a waiting request is sent, or until a new one would be sent if
+   * it had to wait.
+   */
   public double expectedWaitMillis(AdmissionRequest request, long nowMillis) {
     return (queue.countAhead(request, nowMillis) + 1) * millisPerFreedSlot(nowMillis);
   }
@@ -238,14 +248,13 @@
 
   private void sendWhileSlotsAreFree(List<WaitingDecision> decisions, long nowMillis) {
     while (limit.slots() > 0 && queue.size() > 0) {
-      Optional<AdmissionRequest> position =
-          queue.poll(source -> hasSlot(source, nowMillis), nowMillis);
-      if (position.isEmpty()) {
+      Optional<AdmissionRequest> next = queue.poll(source -> hasSlot(source, nowMillis), nowMillis);
+      if (next.isEmpty()) {
         return;
       }
-      waitUntilMillis.remove(position.get().id());
-      start(position.get(), nowMillis);
-      decisions.add(new WaitingDecision(position.get(), new AdmissionDecision.Send()));
+      waitUntilMillis.remove(next.get().id());
+      start(next.get(), nowMillis);
+      decisions.add(new WaitingDecision(next.get(), new AdmissionDecision.Send()));
     }
   }
 
--- a/core/src/main/java/org/passhaven/core/backend/PeakConcurrency.java
+++ b/core/src/main/java/org/passhaven/core/backend/PeakConcurrency.java
@@ -1,13 +1,13 @@
 package org.passhaven.core.backend;
 
 /**
- * Tracks the peak number of concurrent requests over a recent time window. Times are in monotonic
- * milliseconds. Not thread-safe.
+ * Tracks the peak number of concurrent requests over a recent time window, which determines how
+ * many connections are kept open. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class PeakConcurrency {
   /**
-   * How long a peak is kept. Runs send requests in bursts several seconds apart; expiring the peak
-   * between bursts would drop connections that the next burst needs.
+   * Time for which a peak is kept. Runs send requests in bursts several seconds apart; expiring the
+   * peak between bursts would drop connections that the next burst needs.
    */
   static final long RETENTION_MILLIS = 10_000;
 
--- a/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerIncarnation.java
@@ -4,9 +4,9 @@
 import java.util.Objects;
 
 /**
- * Identifies one incarnation of a server. A restarted server may keep its id, but the state known
- * of the previous incarnation (weights, cached prompts, load, accepted orders, connections) does
- * not apply to the new one.
+ * Identifies one incarnation of a server. A restarted server may keep its id, but what is known of
+ * the previous incarnation (weights, cached prompts, load, accepted orders, connections) does not
+ * apply to the new one.
  *
  * @param id name under which the server is listed and addressed
  * @param startMillis start time reported by the server, in milliseconds since 1970; zero if servers
--- a/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerPicker.java
@@ -15,9 +15,15 @@
  * all nodes would send to the same server.
  */
 public final class ServerPicker {
+  /** Cost of a server in another zone, as a fraction of the cost of having all its slots in use. */
   private static final double OTHER_ZONE_COST = 0.15;
+
+  /** A server is slow if its latency exceeds that of the fastest one by this factor. */
   private static final double SLOW_LATENCY_FACTOR = 2.0;
+
+  /** Cost of a slow server, as a fraction of the cost of having all its slots in use. */
   private static final double SLOW_COST = 0.6;
+
   private final ServerHealth health;
   private final Predicate<ServerEntry> isNear;
 
--- a/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerUseTable.java
@@ -7,9 +7,10 @@
 import org.passhaven.protocol.member.ServerUse;
 
 /**
- * Latest reports of other nodes on their generations in progress at each server. A report has full
- * weight until the node's next one is due; then its weight falls linearly to zero, as the reported
- * generations end. Times are in monotonic milliseconds of the reading node. Not thread-safe.
+ * Latest reports of other nodes on their generations in progress at each server and the intervals
+ * between events there. A report has full weight until the node's next one is due; then its weight
+ * falls linearly to zero, as the reported generations end. Times are in monotonic milliseconds of
+ * the reading node. Not thread-safe.
  */
 public final class ServerUseTable {
   /** Age up to which a report has full weight: the next one is due by then. */
@@ -26,7 +27,8 @@
   /** Adds a report of another node, replacing the node's previous one. */
   public void onReport(String node, long incarnation, List<ServerUse> uses, long nowMillis) {
     Objects.requireNonNull(node, "node");
-    // Nodes without jobs receive reports but never call forgetExpired in a scheduling round.
+    // Nodes without jobs receive reports but run no scheduling rounds, in which forgetExpired is
+    // called.
     forgetExpired(nowMillis);
     Report before = byNode.get(node);
     if (before != null && incarnation < before.incarnation()) {
@@ -47,7 +49,7 @@
     byNode.values().removeIf(report -> nowMillis - report.receivedAtMillis() >= EXPIRY_MILLIS);
   }
 
-  /** Returns the number of nodes with a report that was not removed. */
+  /** Returns the number of nodes with a report, including expired ones that are not removed yet. */
   public int reportingNodes() {
     return byNode.size();
   }
@@ -65,8 +67,8 @@
   }
 
   /**
-   * Returns the sustained pause between events at a server from its newest report, or zero if there
-   * is none.
+   * Returns the sustained interval between events at a server, from the newest unexpired report
+   * that states it, or zero if there is none.
    */
   public double pauseMillis(ServerIncarnation incarnation, long nowMillis) {
     long newest = Long.MIN_VALUE;
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationException.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationException.java
@@ -7,7 +7,7 @@
   private static final long serialVersionUID = 1L;
   private final transient List<String> errors;
 
-  /** Creates the exception; each error names the file, the key and the violated rule. */
+  /** Creates the exception; each error names the file or document and the violated rule. */
   public ConfigurationException(List<String> errors) {
     super(String.join("; ", errors));
     this.errors = List.copyOf(errors);
--- a/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ConfigurationParser.java
@@ -24,8 +24,9 @@
 import org.passhaven.protocol.ConfigurationDocument;
 
 /**
- * Parses and validates operators' files and stored documents into a {@link ConfigurationSnapshot}.
- * If any document is invalid, all are rejected and every error is reported. Thread-safe.
+ * Parses and validates configurations: operators' files into documents to be stored, and stored
+ * documents into a {@link ConfigurationSnapshot}. If any document is invalid, all are rejected and
+ * every error is reported. Thread-safe.
  */
 public final class ConfigurationParser {
   /** A configuration file. */
@@ -49,7 +50,7 @@
           .getValidator();
 
   /**
-   * Parses and validates a whole configuration.
+   * Parses and validates a whole configuration and returns its documents.
    *
    * @throws ConfigurationException with every error, if there is any
    */
@@ -59,7 +60,7 @@
     for (SourceFile file : files) {
       readFile(file, documents, errors);
     }
-    ImageBuilder builder = build(documents.values(), errors);
+    SnapshotBuilder builder = build(documents.values(), errors);
     builder.checkReferences(errors);
     if (!errors.isEmpty()) {
       throw new ConfigurationException(errors);
@@ -70,12 +71,12 @@
   /**
    * Builds the snapshot of a revision from its stored documents.
    *
-   * @throws ConfigurationException if a document is invalid
+   * @throws ConfigurationException with every error, if there is any
    */
   public ConfigurationSnapshot snapshot(long revision, Collection<ConfigurationDocument> documents)
       throws ConfigurationException {
     List<String> errors = new ArrayList<>();
-    ImageBuilder builder = build(documents, errors);
+    SnapshotBuilder builder = build(documents, errors);
     builder.checkReferences(errors);
     if (!errors.isEmpty()) {
       throw new ConfigurationException(errors);
@@ -123,8 +124,8 @@
     }
   }
 
-  private ImageBuilder build(Collection<ConfigurationDocument> documents, List<String> errors) {
-    ImageBuilder builder = new ImageBuilder();
+  private SnapshotBuilder build(Collection<ConfigurationDocument> documents, List<String> errors) {
+    SnapshotBuilder builder = new SnapshotBuilder();
     for (ConfigurationDocument document : documents) {
       int slash = document.key().indexOf('/');
       String kind = slash < 0 ? "" : document.key().substring(0, slash);
@@ -144,7 +145,7 @@
       ConfigurationDocument document,
       Class<T> type,
       String name,
-      Map<String, T> into,
+      Map<String, T> target,
       List<String> errors) {
     try {
       T value = json.readValue(document.json(), type);
@@ -158,7 +159,7 @@
                       + violation.getMessage())
           .sorted()
           .forEach(errors::add);
-      into.put(name, value);
+      target.put(name, value);
     } catch (JsonProcessingException e) {
       errors.add(document.key() + ": " + firstLine(e));
     }
@@ -197,7 +198,7 @@
     }
   }
 
-  private static final class ImageBuilder {
+  private static final class SnapshotBuilder {
     final NavigableMap<String, TrainerSettings> trainers = new TreeMap<>();
     final NavigableMap<String, ModelSettings> models = new TreeMap<>();
     final NavigableMap<String, ServiceSettings> services = new TreeMap<>();
--- a/core/src/main/java/org/passhaven/core/configuration/ServiceSettings.java
+++ b/core/src/main/java/org/passhaven/core/configuration/ServiceSettings.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the class of a request by its path or, if no route matches, by the semantics of its
-   * method (RFC 9110, 9.2.2).
+   * Returns the class of a request by the first route that matches its path or, if none does, by
+   * the semantics of its method (RFC 9110, 9.2.2).
    */
   public RequestClass classOf(String method, String path) {
     for (Route route : routes) {
--- a/core/src/main/java/org/passhaven/core/configuration/TrainerSettings.java
+++ b/core/src/main/java/org/passhaven/core/configuration/TrainerSettings.java
@@ -37,7 +37,8 @@
     /** Minimize idle time: start the next step's samples as soon as engines are free. */
     IDLE_TIME,
     /**
-     * Minimize staleness: start them only after the weights that the step trains on are published.
+     * Minimize staleness: start the next step's samples only after the weights that the step trains
+     * on are published.
      */
     STALENESS
   }
--- a/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
+++ b/core/src/main/java/org/passhaven/core/connection/ConnectionLiveness.java
@@ -8,15 +8,16 @@
 
 /**
  * Decides which idle keep-alive connections may be reused. Network failures can silence connections
- * without closing them, often several at once. A call without a response therefore makes all
- * connections to its address suspect that received no data since; silence at two addresses, with no
- * data on any older connection, makes all connections of this node suspect. A connection that
- * receives data is trusted again. Times are in monotonic milliseconds. Not thread-safe.
+ * without closing them, often several at once. If a call gets no response, all connections to its
+ * address that have received no data since it was sent, or since its own last data, become suspect.
+ * If this happens at two addresses within a second, and no older connection has received data
+ * since, all connections of this node become suspect. A connection that receives data is trusted
+ * again. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class ConnectionLiveness {
   /**
-   * Silences within this time are treated as one event. Long enough for a node to make calls to two
-   * addresses, but too short for unrelated slow servers to count as an outage.
+   * Silences within this time are treated as one event. It is long enough for a node to make calls
+   * to two addresses, but too short for unrelated slow servers to count as an outage.
    */
   private static final long SAME_EVENT_MILLIS = 1_000;
 
--- a/core/src/main/java/org/passhaven/core/crash/CrashTable.java
+++ b/core/src/main/java/org/passhaven/core/crash/CrashTable.java
@@ -11,13 +11,14 @@
 
 /**
  * Tracks the requests during which servers crashed, by fingerprint. One crash says little, since
- * other requests ran there too and servers also exit by themselves. After two crashes without a
- * successful run in between, the request is quarantined and runs only in trials, one at a time in
- * the whole fleet, with pauses that grow threefold. A successful run clears it. Times are in
- * monotonic milliseconds. Not thread-safe.
+ * other requests ran there too and servers also exit by themselves. After one crash the request
+ * runs at only one server at a time. After two without a successful run in between, it is
+ * quarantined and runs only in trials, one at a time in the whole fleet; each trial and each
+ * further crash triples the pause before the next trial, up to a maximum. A successful run clears
+ * it. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class CrashTable {
-  /** Number of server crashes from which a request is quarantined. */
+  /** Number of server crashes at which a request is quarantined. */
   static final int QUARANTINE_CRASHES = 2;
 
   /**
@@ -26,9 +27,12 @@
    */
   static final long FIRST_PAUSE_MILLIS = 4_000;
 
+  /** Factor by which each trial and each crash after the second lengthens the pause. */
   static final long PAUSE_FACTOR = 3;
 
-  /** Limits a request that crashes servers to one of them in ten minutes. */
+  /**
+   * Maximum pause. A request that always crashes servers then crashes at most one in ten minutes.
+   */
   static final long MAX_PAUSE_MILLIS = 600_000;
 
   /** Time since the last change of an entry after which it is removed. */
@@ -50,10 +54,10 @@
     int trials;
     String trialNode = "";
     long trialIncarnation;
-    boolean trialIsUsed = true;
+    boolean isTrialTaken = true;
     long changedMillis;
 
-    int rank() {
+    int crashesAndTrials() {
       return servers.size() + trials;
     }
   }
@@ -107,15 +111,15 @@
   /** Applies a note that this node writes or reads. Applying a note twice has no effect. */
   public void onNote(CrashNote note, long nowMillis) {
     Suspect suspect = suspects.computeIfAbsent(note.fingerprint(), key -> new Suspect());
-    if (note instanceof CrashNote.Crashed ended) {
-      if (suspect.servers.add(ended.server())) {
+    if (note instanceof CrashNote.Crashed crashed) {
+      if (suspect.servers.add(crashed.server())) {
         suspect.changedMillis = nowMillis;
       }
     } else if (note instanceof CrashNote.Trial trial && trial.number() > suspect.trials) {
       suspect.trials = trial.number();
       suspect.trialNode = trial.node();
       suspect.trialIncarnation = trial.incarnation();
-      suspect.trialIsUsed = false;
+      suspect.isTrialTaken = false;
       suspect.changedMillis = nowMillis;
     }
   }
@@ -129,15 +133,15 @@
     if (suspect.servers.size() < QUARANTINE_CRASHES) {
       return new RequestDecision.SingleServer();
     }
-    long until = suspect.changedMillis + pauseMillis(suspect.rank());
+    long until = suspect.changedMillis + pauseMillis(suspect.crashesAndTrials());
     return nowMillis < until
         ? new RequestDecision.Quarantined(until)
         : new RequestDecision.TrialDue(suspect.trials + 1);
   }
 
-  private static long pauseMillis(int rank) {
+  private static long pauseMillis(int crashesAndTrials) {
     long pause = FIRST_PAUSE_MILLIS;
-    for (int i = QUARANTINE_CRASHES; i < rank && pause < MAX_PAUSE_MILLIS; i++) {
+    for (int i = QUARANTINE_CRASHES; i < crashesAndTrials && pause < MAX_PAUSE_MILLIS; i++) {
       pause *= PAUSE_FACTOR;
     }
     return Math.min(pause, MAX_PAUSE_MILLIS);
@@ -151,11 +155,11 @@
     Suspect suspect = suspects.get(fingerprint);
     boolean isOwn =
         suspect != null
-            && !suspect.trialIsUsed
+            && !suspect.isTrialTaken
             && suspect.trialNode.equals(node)
             && suspect.trialIncarnation == incarnation;
     if (isOwn) {
-      suspect.trialIsUsed = true;
+      suspect.isTrialTaken = true;
     }
     return isOwn;
   }
@@ -164,7 +168,7 @@
   public void returnTrial(String fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect != null) {
-      suspect.trialIsUsed = false;
+      suspect.isTrialTaken = false;
     }
   }
 
@@ -193,7 +197,8 @@
 
   /**
    * Returns the requests to remove now: those without a change for a long time and, if there are
-   * too many, those with the fewest server crashes, the oldest first.
+   * too many, those with the fewest server crashes and trials, among equals the least recently
+   * changed first.
    */
   public List<String> requestsToRemove(long nowMillis) {
     List<String> toRemove = new ArrayList<>();
@@ -208,7 +213,8 @@
       suspects.entrySet().stream()
           .filter(entry -> !toRemove.contains(entry.getKey()))
           .sorted(
-              Comparator.comparingInt((Map.Entry<String, Suspect> entry) -> entry.getValue().rank())
+              Comparator.comparingInt(
+                      (Map.Entry<String, Suspect> entry) -> entry.getValue().crashesAndTrials())
                   .thenComparingLong(entry -> entry.getValue().changedMillis)
                   .thenComparing(Map.Entry::getKey))
           .limit(tooMany)
--- a/core/src/main/java/org/passhaven/core/crash/RequestFingerprint.java
+++ b/core/src/main/java/org/passhaven/core/crash/RequestFingerprint.java
@@ -4,9 +4,9 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * Computes fingerprints that identify repetitions of a request, which may come with another id and
- * at another node, by what servers receive. A fingerprint has 128 bits, so collisions are
- * negligible.
+ * Computes fingerprints of requests from what servers receive: method, host, URI and body. A
+ * repetition of a request has the same fingerprint, even with another id or at another node. A
+ * fingerprint has 128 bits, so collisions are negligible.
  */
 public final class RequestFingerprint {
   private static final LongTupleHashFunction HASH = LongTupleHashFunction.xx128();
--- a/core/src/main/java/org/passhaven/core/duty/DutyLease.java
+++ b/core/src/main/java/org/passhaven/core/duty/DutyLease.java
@@ -7,19 +7,21 @@
 import org.passhaven.protocol.duty.DutyRecord;
 
 /**
- * Leader lease that decides whether this node may perform the singleton duties now (orders to
- * servers, usage reports, scaling). One lease covers all of them; its epoch is the fencing token of
- * every call. The state is built from the records of one stream: the first claim that follows a
- * holder wins. A holder may order only for a short time, counted from when it sent an intent that
- * it then read back from the stream. Every reader therefore knows the latest time at which a
- * predecessor can have ordered, and waits for the handover time in addition.
+ * Leader lease that decides whether this node may perform the singleton duties now (sending orders
+ * to servers, usage reports, scaling). One lease covers all of them; its epoch is the fencing token
+ * of every call. The state is built from the records of one stream. A claim is valid if its writer
+ * had read the holder's newest record; the first valid claim wins. A holder may send orders only
+ * for a short time, counted from when it sent an intent that it then read back from the stream.
+ * Every reader therefore knows the latest time at which a predecessor can have sent orders, and
+ * waits for the handover time in addition.
  *
  * <p>The stream drops records by age. A holder therefore writes again well within that age, and a
- * reader that finds a record of an unknown holder takes its writer for the holder. The epoch of a
- * claim is one more than the offset up to which its writer had read. No epoch is higher than the
- * offset of its claim, so the epoch of a later claim exceeds all epochs ever used, even if its
- * writer has missed records. Except for renewals, nothing is written while no order is due. Times
- * are in monotonic milliseconds. Not thread-safe.
+ * reader that finds a record of an unknown holder treats its writer as the holder. The epoch of a
+ * claim is one more than the offset of the next record that its writer would have read, and
+ * therefore exceeds the claim's own offset by at most one. The writer of a later valid claim has
+ * read past that offset or skipped it, so the later claim's epoch exceeds all epochs of earlier
+ * holders, even if its writer has missed records. Except for renewals, nothing is written while no
+ * order is due. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class DutyLease {
   /**
@@ -47,7 +49,7 @@
   private final Settings settings;
   private final Map<Long, Long> sentMillisByNumber = new HashMap<>();
 
-  /** Earliest time at which another node may order after the last activity of a node, by node. */
+  /** By node that has held the lease: the earliest time at which another node may send orders. */
   private final Map<String, Long> earliestTakeoverMillis = new HashMap<>();
 
   /** Offset of the next record to read from the stream. */
@@ -62,7 +64,8 @@
   private boolean isHolderCertain = true;
 
   /**
-   * Offset of the holder's newest record; of anybody's newest record while the holder is uncertain.
+   * Offset of the holder's newest record; while the holder is uncertain, of the newest record of
+   * any node.
    */
   private long newestOffset = -1;
 
@@ -145,7 +148,8 @@
       }
       isHolderCertain = true;
     } else if (!isHolderCertain) {
-      // The known claim may have lost. The epoch stays, since the claim may also have won.
+      // The claim applied last may be invalid, so the writer of this record is treated as
+      // the holder. The epoch is kept, since the claim may also be valid.
       holder = record.node();
       holderIncarnation = record.incarnation();
       recordActivity(record.node(), nowMillis);
@@ -215,7 +219,8 @@
   }
 
   /**
-   * Returns the earliest time at which this node may order, given the last activity of all others.
+   * Returns the latest of the takeover times after all other nodes; this node may send orders from
+   * then on.
    */
   private long latestTakeoverMillis() {
     return earliestTakeoverMillis.entrySet().stream()
@@ -236,7 +241,7 @@
     return holder.equals(node) && holderIncarnation == incarnation && epoch == claimedEpoch;
   }
 
-  /** Returns the node that holds the lease; empty if there never was a holder. */
+  /** Returns the node that holds the lease; empty if none is known. */
   public String holder() {
     return holder;
   }
@@ -287,7 +292,10 @@
     return isHolder() ? nextIntent(nowMillis) : nextClaim(isHolderAlive, rank, nowMillis);
   }
 
-  /** Returns whether the holder must write before the log drops its last record. */
+  /**
+   * Returns whether this node is the holder and must write again before the log drops its last
+   * record.
+   */
   private boolean isRenewalDue(long nowMillis) {
     return isHolder() && nowMillis - lastRecordMillis >= settings.renewAfterMillis();
   }
--- a/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
+++ b/core/src/main/java/org/passhaven/core/forward/ForwardPlan.java
@@ -26,7 +26,7 @@
     SUCCESS,
     /** The server did not run the request or was not reached. */
     NOT_RUN,
-    /** The server ran the request and failed, such as with status 500. */
+    /** The server ran the request and failed, for example with status 500. */
     SERVER_ERROR,
     /** The server returned an unsuccessful response that must not be retried. */
     FINAL,
@@ -59,7 +59,7 @@
   /**
    * Creates the plan of one request.
    *
-   * @param deadlineMillis time at which the caller or the route times out
+   * @param deadlineMillis time at which the caller or the route times out, whichever is first
    */
   public ForwardPlan(Route route, long deadlineMillis) {
     this.route = Objects.requireNonNull(route, "route");
@@ -90,7 +90,7 @@
     return remainingMillis(nowMillis) >= MIN_ATTEMPT_MILLIS;
   }
 
-  /** Returns whether the request was sent to a server. */
+  /** Returns whether the request was sent to the given server. */
   public boolean hasTried(ServerIncarnation server) {
     return triedServers.contains(server);
   }
--- a/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/EventIntervalTracker.java
@@ -6,9 +6,9 @@
 import org.passhaven.core.backend.ServerIncarnation;
 
 /**
- * Measures the intervals between events of each server on two time scales: a recent mean, and a
- * sustained value that ignores transient slowness. Moving a generation pays off only if a server is
- * slow for a sustained time. Times are in monotonic milliseconds. Not thread-safe.
+ * Measures the intervals between the events of a text at each server on two time scales: a recent
+ * mean, and a sustained value that ignores transient slowness. Moving a generation pays off only if
+ * a server is slow for a sustained time. Times are in monotonic milliseconds. Not thread-safe.
  */
 final class EventIntervalTracker {
   /** Minimum weight of a sample in the recent mean. */
@@ -22,7 +22,7 @@
 
   private static final long BUCKET_MILLIS = 300;
 
-  /** Number of samples from which on the mean of a bucket is used. */
+  /** Minimum number of samples in a bucket for its mean to be used. */
   private static final int MIN_BUCKET_SAMPLES = 3;
 
   private final Map<ServerIncarnation, Statistics> statisticsByServer = new HashMap<>();
@@ -74,7 +74,7 @@
   }
 
   void onInterval(ServerIncarnation server, long intervalMillis, long nowMillis) {
-    Statistics statistics = statisticsByServer.computeIfAbsent(server, name -> new Statistics());
+    Statistics statistics = statisticsByServer.computeIfAbsent(server, key -> new Statistics());
     if (statistics.samples == 0
         || nowMillis - statistics.lastSampleAtMillis > MAX_SAMPLE_AGE_MILLIS) {
       statistics.samples = 0;
--- a/core/src/main/java/org/passhaven/core/job/JobScheduler.java
+++ b/core/src/main/java/org/passhaven/core/job/JobScheduler.java
@@ -38,7 +38,7 @@
   public enum Failure {
     /** The server refused the request. */
     REFUSED,
-    /** Another server or weight version than requested answered. */
+    /** The response came from another server or weight version than requested. */
     MISDIRECTED,
     /** The server answered with an error. */
     SERVER_ERROR,
--- a/core/src/main/java/org/passhaven/core/job/LengthEstimator.java
+++ b/core/src/main/java/org/passhaven/core/job/LengthEstimator.java
@@ -1,9 +1,10 @@
 package org.passhaven.core.job;
 
 /**
- * Estimates the number of events of an item's text from the caller's length hint and the ratio of
- * events to hints in earlier texts, as exponentially weighted means. Single hints are imprecise, so
- * a text that is longer than expected counts as half done. Not thread-safe.
+ * Estimates the number of events of an item's text from the caller's length hint in tokens,
+ * multiplied by the ratio of events to hinted tokens in earlier texts; without a hint, from the
+ * mean length of earlier texts. Recent texts weigh more. Single hints are imprecise, so a text that
+ * is longer than expected counts as half done. Not thread-safe.
  */
 final class LengthEstimator {
   private static final double DECAY_FACTOR = 0.995;
--- a/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
+++ b/core/src/main/java/org/passhaven/core/job/RefusalTracker.java
@@ -15,7 +15,7 @@
  * (slow start). Times are in monotonic milliseconds. Not thread-safe.
  */
 final class RefusalTracker {
-  /** Backoff after the refusal of a full server. */
+  /** Backoff after a refusal by a full server. */
   private static final long FULL_BACKOFF_MILLIS = 80;
 
   /** Maximum of the exponential backoff for a server that loads weights. */
@@ -43,32 +43,38 @@
   /** Number of generations accepted while a version was the newest one. */
   private record AcceptedCount(long newestVersion, int generations) {}
 
-  /** Backoff after a refusal: the version held then and the time of the next attempt. */
+  /**
+   * Backoff after a refusal: the version that the server held then, the length of the backoff and
+   * its end.
+   */
   private record Backoff(long heldVersion, long delayMillis, long untilMillis) {}
 
   /** Removes servers that are no longer listed and marks added ones as new. */
-  void retain(Set<ServerIncarnation> starts) {
-    if (knownServers.equals(starts)) {
+  void retain(Set<ServerIncarnation> incarnations) {
+    if (knownServers.equals(incarnations)) {
       return;
     }
     if (!knownServers.isEmpty()) {
-      starts.stream().filter(start -> !knownServers.contains(start)).forEach(newServers::add);
+      incarnations.stream()
+          .filter(incarnation -> !knownServers.contains(incarnation))
+          .forEach(newServers::add);
     }
-    knownServers = Set.copyOf(starts);
-    newServers.retainAll(starts);
-    backoffs.keySet().removeIf(key -> !starts.contains(key.incarnation()));
-    pending.keySet().removeIf(key -> !starts.contains(key.incarnation()));
-    accepted.keySet().removeIf(key -> !starts.contains(key.incarnation()));
+    knownServers = Set.copyOf(incarnations);
+    newServers.retainAll(incarnations);
+    backoffs.keySet().removeIf(key -> !incarnations.contains(key.incarnation()));
+    pending.keySet().removeIf(key -> !incarnations.contains(key.incarnation()));
+    accepted.keySet().removeIf(key -> !incarnations.contains(key.incarnation()));
   }
 
   /** Counts a generation that was sent to a server as pending. */
-  void onSent(ServerIncarnation start, String model) {
-    pending.merge(new Key(start, model), 1, Integer::sum);
+  void onSent(ServerIncarnation incarnation, String model) {
+    pending.merge(new Key(incarnation, model), 1, Integer::sum);
   }
 
   /** Stops counting a generation as pending: it was accepted, refused or has failed. */
-  void removePending(ServerIncarnation start, String model) {
-    pending.computeIfPresent(new Key(start, model), (key, count) -> count > 1 ? count - 1 : null);
+  void removePending(ServerIncarnation incarnation, String model) {
+    pending.computeIfPresent(
+        new Key(incarnation, model), (key, count) -> count > 1 ? count - 1 : null);
   }
 
   /**
@@ -76,11 +82,11 @@
    *
    * @param newest newest weight version of the model
    */
-  void onAccepted(ServerIncarnation start, String model, long newest) {
-    Key key = new Key(start, model);
-    removePending(start, model);
+  void onAccepted(ServerIncarnation incarnation, String model, long newest) {
+    Key key = new Key(incarnation, model);
+    removePending(incarnation, model);
     backoffs.remove(key);
-    newServers.remove(start);
+    newServers.remove(incarnation);
     accepted.put(key, new AcceptedCount(newest, acceptedCount(key, newest) + 1));
   }
 
@@ -96,12 +102,12 @@
    * @param newest newest weight version of the model, if the server does not hold it
    */
   void onRefused(
-      ServerIncarnation start,
+      ServerIncarnation incarnation,
       String model,
       long heldVersion,
       Optional<AnnouncedVersion> newest,
       long nowMillis) {
-    Key key = new Key(start, model);
+    Key key = new Key(incarnation, model);
     accepted.remove(key);
     Backoff last = backoffs.get(key);
     boolean isRepeated = last != null && last.heldVersion() == heldVersion;
@@ -119,7 +125,10 @@
     backoffs.put(key, new Backoff(heldVersion, delayMillis, untilMillis));
   }
 
-  /** Returns whether a server refused the last generation of a model that it answered. */
+  /**
+   * Returns whether a server refused the last generation of a model that it answered, and has not
+   * changed its weight version since.
+   */
   boolean isRefusing(ServerEntry server, String model) {
     Backoff last = backoffs.get(new Key(server.incarnation(), model));
     return last != null && last.heldVersion() == server.versionOf(model);
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -62,9 +62,10 @@
         .toList();
   }
 
-  private ServerUse toServerUse(ServerIncarnation start, long nowMillis) {
-    int pauseMillis = (int) Math.round(intervalTracker.sustainedMillis(start, nowMillis));
-    return new ServerUse(start.id(), start.startMillis(), health.inProgress(start), pauseMillis);
+  private ServerUse toServerUse(ServerIncarnation incarnation, long nowMillis) {
+    int pauseMillis = (int) Math.round(intervalTracker.sustainedMillis(incarnation, nowMillis));
+    return new ServerUse(
+        incarnation.id(), incarnation.startMillis(), health.inProgress(incarnation), pauseMillis);
   }
 
   /** Returns whether peers report generations at servers. */
--- a/core/src/main/java/org/passhaven/core/job/TextCache.java
+++ b/core/src/main/java/org/passhaven/core/job/TextCache.java
@@ -5,14 +5,14 @@
 
 /**
  * Cache of the texts of items whose job stopped at this node, for the same items in a later job.
- * Decides whether an earlier text may be reused. Not thread-safe.
+ * Decides whether a text from the cache or the log may be reused. Not thread-safe.
  */
 final class TextCache {
   private static final int MAX_TEXTS = 512;
 
   private record CachedText(ItemText text, boolean complete) {}
 
-  /** Key of a text. Includes the tenant, so that tenants never share texts. */
+  /** Key of a text. It includes the tenant, so that tenants never share texts. */
   private record Key(String tenant, String item) {
     static Key of(ItemExecution execution) {
       return new Key(execution.jobExecution.job.submission().tenant(), execution.item.id());
--- a/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
+++ b/core/src/main/java/org/passhaven/core/lease/ClockJumpDetector.java
@@ -8,8 +8,9 @@
  */
 public final class ClockJumpDetector {
   /**
-   * Smaller differences are not jumps: the clocks are read one after the other, and the process may
-   * be paused for some 100 ms in between. The safety margins of leases are larger than this.
+   * Minimum change that counts as a jump. Smaller ones occur because the clocks are read one after
+   * the other and the process may be paused for about 100 ms in between. The safety margins of
+   * leases are larger than this.
    */
   public static final long MIN_JUMP_MILLIS = 200;
 
--- a/core/src/main/java/org/passhaven/core/lease/LeaseState.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseState.java
@@ -55,7 +55,7 @@
     ignoredUntilMillis = nowMillis;
   }
 
-  /** Applies a fenced record of the current epoch, which renews the lease. */
+  /** Applies a record that carries the current epoch, which renews the lease. */
   public void onFencedRead(long readAtMillis, long sentAtMillis) {
     lastReadAtMillis = Math.max(lastReadAtMillis, readAtMillis);
     extend(sentAtMillis);
@@ -76,7 +76,7 @@
     holderStopsAtMillis = Long.MIN_VALUE;
   }
 
-  /** Returns the epoch of the newest valid claim; zero before any. */
+  /** Returns the epoch of the newest valid claim; zero if there is none. */
   public long epoch() {
     return epoch;
   }
@@ -94,7 +94,7 @@
   /**
    * Returns whether a claim of the next epoch is allowed now.
    *
-   * @param extraWaitMillis additional wait of candidates with a lower rank
+   * @param extraWaitMillis additional wait of this node according to its rank among the candidates
    */
   public boolean mayClaim(long nowMillis, long extraWaitMillis) {
     if (isOwnClaim) {
--- a/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
+++ b/core/src/main/java/org/passhaven/core/lease/LeaseTiming.java
@@ -7,9 +7,9 @@
  * Timing of a lease.
  *
  * <p>The holder stops at {@code sentAt + term - drift}, counted from before it sent the record that
- * renewed the lease. A successor waits {@code term + drift} from when it read that record, which is
- * later than when it was sent. So the two never overlap while clocks drift by less than {@code
- * drift} within a term.
+ * renewed the lease. A successor waits {@code term + drift} after it has read that record, which is
+ * later than the sending. Holder and successor therefore never overlap while clocks drift by less
+ * than {@code drift} within a term.
  *
  * @param term duration of one renewal
  * @param drift bound on the drift of two monotonic clocks within one term
--- a/core/src/main/java/org/passhaven/core/log/ReadConcurrencyLimiter.java
+++ b/core/src/main/java/org/passhaven/core/log/ReadConcurrencyLimiter.java
@@ -2,15 +2,19 @@
 
 /**
  * Limits the number of concurrent history reads of a node by additive increase and multiplicative
- * decrease: the limit grows by one after a fast read and is halved when a read is lost. The node
- * knows neither the bandwidth of its link nor how many other nodes are reading. Times are in
- * monotonic milliseconds. Not thread-safe.
+ * decrease: the limit grows by one after a fast read, shrinks by one after a slow one and is halved
+ * when a read is lost. A fixed limit would not do, since the node knows neither the bandwidth of
+ * its link nor how many other nodes are reading. Times are in monotonic milliseconds. Not
+ * thread-safe.
  */
 public final class ReadConcurrencyLimiter {
-  /** More than one, since a single connection does not fill a link with a long round trip. */
+  /**
+   * Initial limit; more than one, since a single connection does not fill a link with a long round
+   * trip.
+   */
   private static final int INITIAL_READS = 4;
 
-  /** Bounds the memory held by reads in flight to two megabytes. */
+  /** Maximum limit; bounds the memory held by reads in flight to two megabytes. */
   private static final int MAX_READS = 8;
 
   /** A read that completes within this time raises the limit. */
--- a/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
+++ b/core/src/main/java/org/passhaven/core/member/FleetLossDetector.java
@@ -22,8 +22,8 @@
   static final int MIN_DUE_NODES = 4;
 
   /**
-   * The fleet was lost if less than one in this many of the due nodes has sent a heartbeat again.
-   * In a live fleet most have, even while the log refuses some writes.
+   * The fleet counts as lost if fewer than one in this many due nodes has sent a heartbeat again.
+   * In a live fleet most due nodes have done so, even while the log refuses some writes.
    */
   private static final int LOST_BELOW_ONE_IN = 4;
 
@@ -58,7 +58,7 @@
   void onHeartbeat(MemberBeat heartbeat, int position) {
     IncarnationHistory history =
         histories.computeIfAbsent(
-            heartbeat.nodeIncarnation(), start -> new IncarnationHistory(heartbeat, position));
+            heartbeat.nodeIncarnation(), key -> new IncarnationHistory(heartbeat, position));
     history.newest = heartbeat;
     history.position = position;
   }
@@ -88,7 +88,7 @@
     int resumed = 0;
     for (IncarnationHistory history : newestBefore(since).values()) {
       boolean hasResumed = history.position > since.firstPosition;
-      // A heartbeat before it was due shows a live node too.
+      // A node that has sent a heartbeat before one was due is alive, too.
       if (hasResumed || history.isDueWithin(since.spanMillis())) {
         dueNodes++;
         resumed += hasResumed ? 1 : 0;
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatInterval.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatInterval.java
@@ -3,10 +3,14 @@
 /**
  * Heartbeat interval of idle nodes. Nodes on which runs, orders or callers depend use the interval
  * of the settings, so that their loss is detected quickly. All other nodes share a bounded number
- * of heartbeats per second, so that the load on the log does not grow with the fleet.
+ * of heartbeats per second, so that the load on the log does not grow between 100 and 1000 nodes.
+ * In smaller fleets the minimum interval applies, in larger ones the maximum.
  */
 public final class HeartbeatInterval {
-  /** Leaves most of the append capacity of a partition to other records. */
+  /**
+   * Heartbeats per second of all idle nodes together; leaves most of the append capacity of a
+   * partition to other records.
+   */
   private static final int IDLE_HEARTBEATS_PER_SECOND = 100;
 
   private static final long MIN_IDLE_MILLIS = 1_000;
--- a/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
+++ b/core/src/main/java/org/passhaven/core/member/HeartbeatTable.java
@@ -13,10 +13,11 @@
 import org.passhaven.protocol.member.MemberBeat;
 
 /**
- * Live nodes, derived from their heartbeats. Each heartbeat states the interval until the next one.
- * Silence of a node is measured against the newest heartbeat of any node, not against the clock, so
- * that no node is declared dead because the log is down or this reader can't reach it. Times are in
- * monotonic milliseconds of the reader. Not thread-safe.
+ * Live nodes, derived from their heartbeats. Ranks them as candidates for work, chooses the
+ * addresses that callers use, and detects the loss of nearly the whole fleet. Each heartbeat states
+ * the interval until the next one. Silence of a node is measured against the newest heartbeat of
+ * any node, not against the clock, so that no node is declared dead because the log is down or this
+ * reader can't reach it. Times are in monotonic milliseconds of the reader. Not thread-safe.
  */
 public final class HeartbeatTable {
   private static final String CALLERS_KEY_PREFIX = "callers/";
@@ -39,11 +40,14 @@
 
   /**
    * Time after its start for which a node counts as recently started, longer than a lost fleet
-   * takes to restart.
+   * takes to restart. Also the time for which a reader checks for the loss of the fleet.
    */
   private static final long RECENT_START_MILLIS = 5_000;
 
-  /** A fleet counts as recently started while this share of its nodes does. */
+  /**
+   * A fleet counts as recently started while at least this share of its nodes counts as recently
+   * started.
+   */
   private static final double RECENT_START_SHARE = 0.75;
 
   private final long silenceMillis;
@@ -60,6 +64,7 @@
    * @param firstPosition position in the log of the first heartbeat that was read of this
    *     incarnation
    * @param position position of this heartbeat in the log
+   * @param atMillis time at which this heartbeat was read
    */
   private record LatestHeartbeat(
       MemberBeat heartbeat, int firstPosition, int position, long atMillis) {}
@@ -108,7 +113,8 @@
 
   /**
    * Returns whether so few of the nodes that were alive when this reader began have sent heartbeats
-   * since that the fleet must have been lost. Valid within the reader's first seconds.
+   * since that the fleet must have been lost. Considers only the heartbeats that this reader reads
+   * within {@link #RECENT_START_MILLIS} of its first one.
    */
   public boolean isFleetLost() {
     return lossDetector.firstPositionAfterLoss().isPresent();
@@ -184,9 +190,9 @@
   }
 
   /**
-   * Returns the rank of a node among the live ones: large nodes first, then the most recently
-   * started; the last rank if the node is unknown. During a rolling restart the most recently
-   * started node stays the longest.
+   * Returns the rank of a node among the live ones that accept work, from zero: large nodes first,
+   * and within each group the most recently started first; the number of these nodes if the node is
+   * unknown. During a rolling restart the most recently started node stays the longest.
    */
   public int rankByStartTime(String node) {
     LargeNodes largeNodes = LargeNodes.among(acceptingNodes());
@@ -206,8 +212,8 @@
   }
 
   /**
-   * Returns the rank of a node among the candidates for a key, from zero; the last rank if the node
-   * is unknown.
+   * Returns the rank of a node among the candidates for a key, from zero; the number of candidates
+   * if the node is unknown.
    */
   public int rankForKey(String key, String node) {
     List<Member> ranked = rank(key);
--- a/core/src/main/java/org/passhaven/core/member/LargeNodes.java
+++ b/core/src/main/java/org/passhaven/core/member/LargeNodes.java
@@ -7,10 +7,10 @@
 /**
  * The nodes with the most CPU in a fleet of unequal machines. Work that one node does for many
  * (running jobs, ordering weight loads, serving the callers of a zone) goes to these first: small
- * machines start later and take over from a lost node more slowly. In a fleet of equal machines all
- * nodes are large.
+ * machines start more slowly and take longer to take over from a lost node. In a fleet of equal
+ * machines all nodes are large.
  *
- * @param minCores CPU cores from which a node is large
+ * @param minCores minimum number of CPU cores of a large node
  */
 record LargeNodes(double minCores) {
   /** Minimum number of large nodes, so that a few large machines don't get all the work. */
--- a/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
+++ b/core/src/main/java/org/passhaven/core/membership/MembershipTable.java
@@ -15,16 +15,23 @@
 import org.passhaven.protocol.NodeId;
 
 /**
- * One node's view of the membership of all nodes, maintained by gossip. Each period a heartbeat is
- * sent to one member, in a shuffled round, so that the cost for a node does not grow with the
- * fleet. Updates about other members are piggybacked on heartbeats, each a number of times that
- * grows with the logarithm of the fleet size. A silent member is suspected first and may refute
- * this with a higher heartbeat before it counts as dead, so that a paused process rejoins by
+ * One node's view of the membership of all nodes, maintained by gossip. In each period a heartbeat
+ * is sent to one member, the next in a shuffled round, so that the cost for a node does not grow
+ * with the fleet. Updates about other members are piggybacked on heartbeats, each a number of times
+ * that grows with the logarithm of the fleet size. A silent member is suspected first and may
+ * refute this with a higher heartbeat before it counts as dead, so that a paused process rejoins by
  * itself. Times are in monotonic milliseconds. Not thread-safe.
  */
 public final class MembershipTable {
+  /**
+   * An update is sent this many times the number of binary digits of the number of members, which
+   * grows with its logarithm.
+   */
   private static final int DISSEMINATION_FACTOR = 3;
+
+  /** Time after which a dead member is removed. */
   private static final long DEAD_EXPIRY_MILLIS = 120_000;
+
   private final MembershipSettings settings;
   private final Map<NodeId, MemberEntry> members = new TreeMap<>();
   private final Map<NodeId, Integer> updateSendCounts = new LinkedHashMap<>();
@@ -120,7 +127,9 @@
     }
   }
 
-  /** Refutes the statement that this node is suspected or dead with a higher heartbeat. */
+  /**
+   * If the received state declares this node suspected or dead, refutes it with a higher heartbeat.
+   */
   private void refute(MemberState received) {
     boolean isDeclaredGone =
         received.status() == Status.SUSPECT || received.status() == Status.DEAD;
@@ -144,7 +153,8 @@
   }
 
   /**
-   * Ends a period: increments this node's heartbeat and declares suspects dead whose time is over.
+   * Ends a period: increments this node's heartbeat and declares dead the suspects whose time is
+   * over.
    */
   public void onPeriod(long nowMillis) {
     self = withHeartbeat(self, self.heartbeat() + 1);
@@ -199,7 +209,7 @@
     nextInRound = 0;
   }
 
-  /** Suspects a node that neither this member nor a helper could reach. */
+  /** Suspects a node that neither this node nor a helper could reach. */
   public void onUnreachable(NodeId node, long nowMillis) {
     MemberEntry entry = members.get(node);
     if (entry != null && entry.state.status() == Status.ALIVE) {
--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -73,7 +73,8 @@
     removeExpired(nowMillis);
     loading
         .keySet()
-        .removeIf(start -> servers.stream().noneMatch(s -> s.incarnation().equals(start)));
+        .removeIf(
+            incarnation -> servers.stream().noneMatch(s -> s.incarnation().equals(incarnation)));
     List<WeightLoad> started = new ArrayList<>();
     while (true) {
       List<WeightLoad> dueLoads =
@@ -116,23 +117,23 @@
   }
 
   /** Records that a server has completed its load. */
-  public void onLoaded(ServerIncarnation start) {
-    loading.remove(start);
+  public void onLoaded(ServerIncarnation incarnation) {
+    loading.remove(incarnation);
   }
 
   /** Records a failed load; the server gets no load before {@code retryAtMillis}. */
-  public void onFailed(ServerIncarnation start, long retryAtMillis) {
-    loading.remove(start);
-    notBeforeMillis.put(start, retryAtMillis);
+  public void onFailed(ServerIncarnation incarnation, long retryAtMillis) {
+    loading.remove(incarnation);
+    notBeforeMillis.put(incarnation, retryAtMillis);
   }
 
   /**
    * Records that a server did not respond; other servers replace it in the placement until {@code
    * retryAtMillis}.
    */
-  public void onUnreachable(ServerIncarnation start, long retryAtMillis) {
-    onFailed(start, retryAtMillis);
-    unreachableUntilMillis.put(start, retryAtMillis);
+  public void onUnreachable(ServerIncarnation incarnation, long retryAtMillis) {
+    onFailed(incarnation, retryAtMillis);
+    unreachableUntilMillis.put(incarnation, retryAtMillis);
   }
 
   private void removeExpired(long nowMillis) {
