--- a/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
+++ b/core/src/main/java/org/passhaven/core/memory/ByteBudget.java
@@ -39,11 +39,11 @@
   private final long totalBytes;
   private final long smallReserveBytes;
   private final Map<BodyPurpose, Allocation> allocations = new EnumMap<>(BodyPurpose.class);
-  private Runnable onReleased = () -> {};
+  private Runnable releaseListener = () -> {};
   private long totalHeldBytes;
   private long peakBytes;
 
-  /** Creates a budget with nothing reserved. */
+  /** Creates a budget with no bytes in use. */
   public ByteBudget(long totalBytes) {
     if (totalBytes <= 0) {
       throw new IllegalArgumentException("totalBytes is " + totalBytes + " but must be positive");
@@ -68,7 +68,7 @@
 
   /** Sets the task to run after each release. */
   public void setReleaseListener(Runnable task) {
-    onReleased = Objects.requireNonNull(task, "task");
+    releaseListener = Objects.requireNonNull(task, "task");
   }
 
   /** Creates an empty reservation for a new body. */
@@ -96,7 +96,7 @@
     return peakBytes;
   }
 
-  /** Returns the size of the largest body that fits into an otherwise empty budget. */
+  /** Returns a size up to which a body is certain to fit into an otherwise empty budget. */
   public long largestBodyBytes(BodyPurpose purpose) {
     long maxBytes = totalBytes - smallReserveBytes - unusedReservesOfOthers(purpose, false);
     return Math.max(SMALL_BODY_BYTES, Math.max(maxBytes / 2, maxBytes - COPY_BYTES));
@@ -188,7 +188,7 @@
         released = true;
         if (bodyBytes > 0) {
           add(purpose, -cost(bodyBytes));
-          onReleased.run();
+          releaseListener.run();
         }
       }
     }
--- a/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
+++ b/core/src/main/java/org/passhaven/core/memory/InFlightBytes.java
@@ -11,7 +11,7 @@
 public final class InFlightBytes {
   /**
    * Maximum number of bytes in flight from this node to one server, unless a single body is larger.
-   * Many nodes may send to a server at the same time.
+   * Low, since many nodes may send to a server at the same time.
    */
   public static final long MAX_BYTES_PER_SERVER = 4L << 20;
 
@@ -35,7 +35,7 @@
     return true;
   }
 
-  /** Removes a counted body after its response or the end of its connection. */
+  /** Stops counting a body; called after its response or when its connection has ended. */
   public void release(String server, long bytes) {
     bytesByServer.computeIfPresent(
         server, (key, inFlightBytes) -> inFlightBytes > bytes ? inFlightBytes - bytes : null);
--- a/core/src/main/java/org/passhaven/core/order/WeightDemand.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightDemand.java
@@ -3,7 +3,8 @@
 import java.util.Map;
 
 /**
- * Demand for weights.
+ * Weight versions that the servers should load, and the open work that determines how many servers
+ * each model gets.
  *
  * @param newestVersions newest announced version by model
  * @param openItems number of items that wait or generate, by model
--- a/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightLoadPlanner.java
@@ -34,7 +34,10 @@
     this.limit = Objects.requireNonNull(limit, "limit");
   }
 
-  /** Returns all loads that are due and not in progress. */
+  /**
+   * Returns the loads that are needed on servers without a load in progress, including those that
+   * wait for a retry or for the limit. Servers that recently did not respond are left out.
+   */
   public List<WeightLoad> dueLoads(
       Collection<ServerEntry> servers, WeightDemand demand, long nowMillis) {
     List<ServerEntry> reachable =
@@ -107,7 +110,9 @@
         && nowMillis >= notBeforeMillis.getOrDefault(server.incarnation(), Long.MIN_VALUE);
   }
 
-  /** Returns the number of servers that have the version or are loading it. */
+  /**
+   * Returns the number of servers that have the version or are loading any version of the model.
+   */
   private long countLoadedOrLoading(Collection<ServerEntry> servers, WeightLoad load) {
     long loadedCount =
         servers.stream().filter(server -> server.versionOf(load.model()) >= load.version()).count();
--- a/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
+++ b/core/src/main/java/org/passhaven/core/order/WeightPlacement.java
@@ -19,8 +19,8 @@
  * Assigns models to the servers of each service, which then hold the newest weights of these
  * models. Models that share a service get an equal part of its servers each, and more while many of
  * their items wait: each load occupies a server for some time, so loading every version of every
- * model on all servers would delay all of them. A model keeps the servers that hold its weights.
- * Pure logic without I/O.
+ * model on all servers would delay all of them. Among servers with equally many models, a model
+ * prefers those that hold its newest weights. Performs no I/O.
  */
 public final class WeightPlacement {
   private static final double ITEMS_PER_SLOT = 3.0;
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Returns the number of servers that a model needs to process its open items in a few rounds. */
+  /**
+   * Returns the number of servers that a model needs to have at most {@link #ITEMS_PER_SLOT} open
+   * items per slot.
+   */
   private static int serversNeeded(List<ServerEntry> service, int openItems) {
     double slots = service.stream().mapToInt(ServerEntry::slots).average().orElse(1);
     return (int) Math.ceil(openItems / (ITEMS_PER_SLOT * Math.max(1, slots)));
--- a/core/src/main/java/org/passhaven/core/placement/Partition.java
+++ b/core/src/main/java/org/passhaven/core/placement/Partition.java
@@ -20,15 +20,15 @@
 
   /** Returns the partition that a member belongs to. */
   public static int partitionOf(Member member, int partitions) {
-    int heaviest = 0;
+    int chosen = 0;
     long weight = 0;
     for (int partition = 0; partition < partitions; partition++) {
       long candidate = Rendezvous.weight(member.name(), Integer.toString(partition));
       if (partition == 0 || Long.compareUnsigned(candidate, weight) > 0) {
-        heaviest = partition;
+        chosen = partition;
         weight = candidate;
       }
     }
-    return heaviest;
+    return chosen;
   }
 }
--- a/core/src/main/java/org/passhaven/core/request/IntentTable.java
+++ b/core/src/main/java/org/passhaven/core/request/IntentTable.java
@@ -13,10 +13,11 @@
 
 /**
  * Replicated state of one stream of intents: for each idempotency key, which writer may run its
- * request and what it answered.
+ * request, and the recorded response.
  *
  * <p>Invariant: a key's request is sent only by the writer of its first applied intent that was not
- * withdrawn. It therefore runs at most once, also with concurrent attempts and after a crash. Not
+ * withdrawn. It therefore runs at most once, also with concurrent attempts and after a crash, as
+ * long as the table holds its key: only the newest {@value #MAX_KEYS} keys are kept. Not
  * thread-safe.
  */
 public final class IntentTable {
--- a/core/src/main/java/org/passhaven/core/request/RateMeter.java
+++ b/core/src/main/java/org/passhaven/core/request/RateMeter.java
@@ -1,8 +1,8 @@
 package org.passhaven.core.request;
 
 /**
- * Moving average of the number of events per second. Times are in monotonic milliseconds. Not
- * thread-safe.
+ * Exponentially decaying average of the number of events per second. Times are in monotonic
+ * milliseconds. Not thread-safe.
  */
 public final class RateMeter {
   private static final double MILLIS_PER_SECOND = 1_000.0;
--- a/core/src/main/java/org/passhaven/core/request/RequestDigest.java
+++ b/core/src/main/java/org/passhaven/core/request/RequestDigest.java
@@ -8,7 +8,7 @@
 public final class RequestDigest {
   private RequestDigest() {}
 
-  /** Returns the digest of method, path and body. */
+  /** Returns the digest of a request's method, path and body. */
   public static long of(String method, String path, byte[] body) {
     LongHashFunction hash = LongHashFunction.xx3();
     return hash.hashChars(method + " " + path) * 31 + hash.hashBytes(body);
--- a/core/src/main/java/org/passhaven/core/route/RouteTable.java
+++ b/core/src/main/java/org/passhaven/core/route/RouteTable.java
@@ -12,7 +12,10 @@
 import java.util.Set;
 import org.passhaven.core.tenant.TenantTable;
 
-/** Immutable lookup table of the routes of one configuration version. */
+/**
+ * Immutable lookup table of the routes of one configuration version by host and path prefix, with
+ * the request limits and tenants of that version.
+ */
 public final class RouteTable {
   /** Table used before any configuration is loaded. */
   public static final RouteTable EMPTY =
--- a/core/src/main/java/org/passhaven/core/routing/DispatchPolicy.java
+++ b/core/src/main/java/org/passhaven/core/routing/DispatchPolicy.java
@@ -1,15 +1,15 @@
 package org.passhaven.core.routing;
 
-/** Policy by which a shard owner chooses engines and orders samples. */
+/** Policy by which the owner of a shard chooses engines for samples and handles stale weights. */
 public enum DispatchPolicy {
   /**
-   * Chooses engines by free capacity, prefix affinity and zone, starts with the step that the
-   * trainer consumes first, and cancels stale samples early.
+   * Chooses engines by free capacity, prefix affinity and zone; keeps later steps off the engines
+   * that run awaited samples, waits for newer weights, and cancels stale generations early.
    */
   DEFAULT,
   /**
-   * Baseline for comparison: engines in round-robin order regardless of load, samples in order of
-   * arrival.
+   * Baseline for comparison: chooses engines in round-robin order regardless of load, and does none
+   * of the above.
    */
   BASELINE
 }
--- a/core/src/main/java/org/passhaven/core/routing/RoundRobinPicker.java
+++ b/core/src/main/java/org/passhaven/core/routing/RoundRobinPicker.java
@@ -11,14 +11,14 @@
   private final List<EngineView> engines;
   private int next;
 
-  /** Creates a picker that continues after {@code first} earlier picks. */
-  public RoundRobinPicker(Collection<EngineView> views, int first) {
+  /** Creates a picker that continues after {@code earlierPicks} picks. */
+  public RoundRobinPicker(Collection<EngineView> views, int earlierPicks) {
     this.engines =
         views.stream()
             .filter(EngineView::usable)
             .sorted(Comparator.comparing(EngineView::id))
             .toList();
-    this.next = first;
+    this.next = earlierPicks;
   }
 
   @Override
--- a/core/src/main/java/org/passhaven/core/routing/ServiceView.java
+++ b/core/src/main/java/org/passhaven/core/routing/ServiceView.java
@@ -4,7 +4,7 @@
 import org.passhaven.protocol.ServerId;
 
 /**
- * A node's current view of a service server, used for server selection.
+ * A node's current view of a server of a service, used for server selection.
  *
  * @param outstanding number of requests of this node in progress at the server
  * @param share fraction of the normal load that the server may get, from 0 to 1
--- a/core/src/main/java/org/passhaven/core/run/RunAction.java
+++ b/core/src/main/java/org/passhaven/core/run/RunAction.java
@@ -6,7 +6,10 @@
 import org.passhaven.protocol.Sample;
 import org.passhaven.protocol.Segment;
 
-/** Action that the owner of a shard requests; the node executes it. */
+/**
+ * Action that the {@link RunCoordinator} of a shard returns to its node for execution: the
+ * generation of a sample, its cancellation, or a score request.
+ */
 public sealed interface RunAction {
   /**
    * Generate a sample on an engine.
--- a/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
+++ b/core/src/main/java/org/passhaven/core/run/RunCoordinator.java
@@ -24,11 +24,14 @@
 
 /**
  * Schedules the generation, commit and delivery of samples for the owner of one shard during one
- * lease epoch. The content of samples is held in memory only and not in the log, so a new owner
- * starts without it. Performs no I/O and reads no clock. Not thread-safe.
+ * lease epoch, such that no sample exceeds the staleness bound when the trainer pulls it. The
+ * content of samples is held in memory only and not in the log, so a new owner starts without it.
+ * Performs no I/O and reads no clock. Not thread-safe.
  */
 public final class RunCoordinator {
+  /** Number of engine priorities per configured priority; earlier steps get higher ones. */
   private static final int PRIORITIES_PER_LEVEL = 1000;
+
   private static final long MAX_STEPS_BEHIND = 8;
   private static final long NO_STEP = -1;
   private static final long SWAP_WAIT_MILLIS = 15_000;
@@ -210,8 +213,9 @@
 
   /**
    * Returns the oldest weight version that may generate a new sample of the step. It keeps the
-   * sample within the staleness bound when it is pulled. While engines are expected to swap to the
-   * trainer's version, it is that version.
+   * sample within the staleness bound when it is pulled. For some time after the trainer reported a
+   * version, it is that version, since engines are expected to swap to it; a step that the trainer
+   * already waits for does not wait for this unless staleness is to be minimized.
    */
   private long oldestAllowedVersion(StepProgress step, long newestServed, long nowMillis) {
     long withinBound = expectedVersionAt(step.stepNumber()) - settings.stalenessBound();
@@ -369,7 +373,8 @@
 
   /**
    * Records that the trainer pulls a step's samples from a cursor on. This acknowledges all samples
-   * before the cursor and schedules samples after it whose content was lost with an earlier owner.
+   * before the cursor and schedules the later samples, including the one at the cursor, whose
+   * content was lost with an earlier owner.
    */
   public void onPull(long step, long cursor) {
     if (step >= pulledStep) {
--- a/core/src/main/java/org/passhaven/core/run/StepProgress.java
+++ b/core/src/main/java/org/passhaven/core/run/StepProgress.java
@@ -19,7 +19,8 @@
       SlotProgress slot = slots.get(commit.slot());
       slot.position = (int) commit.position();
       slot.phase = SlotProgress.Phase.CONTENT_LOST;
-      // Higher attempt numbers let new commits replace those whose content was lost.
+      // Attempts are numbered on from here, so that new commits replace those whose content was
+      // lost.
       slot.attempt = commit.attempt();
     }
     nextPosition = state.nextPosition();
@@ -29,7 +30,7 @@
     return state.step();
   }
 
-  /** Marks slots whose commit was read back from the log. */
+  /** Marks slots as committed whose commit was read back from the log. */
   void markCommitted() {
     for (SlotProgress slot : slots) {
       if (slot.phase == SlotProgress.Phase.COMMITTING && isCommitInLog(slot)) {
--- a/core/src/main/java/org/passhaven/core/tenant/Tenant.java
+++ b/core/src/main/java/org/passhaven/core/tenant/Tenant.java
@@ -4,7 +4,7 @@
 import java.util.OptionalInt;
 
 /**
- * Tenant on whose account requests run.
+ * Tenant that requests belong to.
  *
  * @param priority priority of its requests, 0 is the most urgent; overrides the priority of their
  *     route if present
--- a/core/src/main/java/org/passhaven/core/usage/TimeOfDayEstimator.java
+++ b/core/src/main/java/org/passhaven/core/usage/TimeOfDayEstimator.java
@@ -11,7 +11,9 @@
  * behind by its length. Times are in milliseconds. Not thread-safe.
  */
 public final class TimeOfDayEstimator {
-  /** With two samples per second, jumps shorter than 15 s are ignored. */
+  /**
+   * Maximum number of samples. With two samples per second, jumps shorter than 15 s are ignored.
+   */
   private static final int MAX_SAMPLES = 60;
 
   private final Deque<Long> differencesMillis = new ArrayDeque<>();
--- a/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageCounter.java
@@ -10,11 +10,14 @@
 import org.passhaven.protocol.usage.UsageRecord;
 
 /**
- * Counts the requests that one incarnation of a node has started, by window and tenant. Not
- * thread-safe.
+ * Counts the requests of one incarnation of a node that servers ran or may have run, by window and
+ * tenant. Not thread-safe.
  */
 public final class UsageCounter {
-  /** Windows are fixed some seconds after their end, so older counts have no effect. */
+  /**
+   * Maximum number of windows held. Older windows have been fixed by then, so their counts have no
+   * effect.
+   */
   private static final int MAX_WINDOWS = 16;
 
   private final String node;
--- a/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageReportTracker.java
@@ -8,15 +8,15 @@
 import org.passhaven.protocol.duty.DutyRecord.UsageReported;
 
 /**
- * Tracks which windows were fixed and reported according to the log, and which one is to be fixed
- * or reported next. To fix a window means to record its final counts. A window is reported with the
- * counts of its first record only, so every holder and every repetition reports the same. Windows
- * are processed in order. Not thread-safe.
+ * Tracks which usage windows were fixed and reported according to the log, and which one is to be
+ * fixed or reported next. To fix a window means to record its final counts. A window is reported
+ * with the counts of its first record only, so every holder of the duty lease reports the same,
+ * however often. Windows are processed in order. Not thread-safe.
  */
 public final class UsageReportTracker {
   /**
-   * Limit on the backlog: older windows are dropped after a long outage (10 minutes with windows of
-   * 5 s).
+   * Maximum number of windows fixed late; after a long outage, older windows are dropped (10
+   * minutes with windows of 5 s).
    */
   private static final int MAX_BACKLOG_WINDOWS = 120;
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Returns the offset in the stream of counts from which a new holder must read: records of
-   * windows that are not fixed yet are not before it.
+   * Returns the offset in the stream of counts from which a new holder must read: all records of
+   * windows that are not fixed yet are at or after it.
    */
   public long resumeOffset() {
     return resumeOffset;
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Returns the next window to fix; empty if none is due. A new fleet begins with the newest window
-   * that is due.
+   * Returns the next window to fix; empty if none is due. If no window was fixed so far, this is
+   * the newest window that is due.
    */
   public OptionalLong nextToFix(long newestDue) {
     if (newestFixed == Long.MIN_VALUE) {
--- a/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageSettings.java
@@ -10,8 +10,8 @@
  */
 public record UsageSettings(long windowMillis, long fixAfterMillis, int maxPublishesPerSecond) {
   /**
-   * Limits the load on the log. Unpublished counts are lost with their node, so the interval also
-   * bounds the error of a report.
+   * Minimum publish interval, which limits the load on the log. Counts not yet published are lost
+   * if their node fails.
    */
   private static final long MIN_PUBLISH_INTERVAL_MILLIS = 250;
 
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Returns the interval at which a node publishes its counts, such that all nodes together stay
-   * within their share of the log's capacity and counts are published before they are fixed.
+   * Returns the interval at which a node publishes its counts, such that counts are published
+   * before they are fixed and, if that allows it, all nodes together stay within {@code
+   * maxPublishesPerSecond}.
    *
    * @param liveNodes number of nodes that are known to be alive
    */
--- a/core/src/main/java/org/passhaven/core/usage/UsageTable.java
+++ b/core/src/main/java/org/passhaven/core/usage/UsageTable.java
@@ -6,7 +6,10 @@
 import java.util.TreeMap;
 import org.passhaven.protocol.usage.UsageRecord;
 
-/** Replicated counts of all nodes by window. Not thread-safe. */
+/**
+ * Number of requests by window, node incarnation and tenant, built from the usage records of all
+ * nodes in the log. Not thread-safe.
+ */
 public final class UsageTable {
   private final TreeMap<Long, Map<Incarnation, Map<String, Long>>> countsByWindow = new TreeMap<>();
 
--- a/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
+++ b/core/src/main/java/org/passhaven/core/weights/VersionRollout.java
@@ -14,8 +14,8 @@
 /**
  * Schedules the rolling update of engines to a new weight version. The number of engines that swap
  * weights at once is limited, so that the group keeps serving; a failed swap is retried with
- * exponential backoff. A swap is complete when the engine reports the version, not when the order
- * is answered. Performs no I/O. Not thread-safe.
+ * exponential backoff. An order counts as in flight until it is answered; an engine is ordered
+ * again until its view shows the version. Performs no I/O. Not thread-safe.
  */
 public final class VersionRollout {
   private static final long INITIAL_BACKOFF_MILLIS = 500;
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Chooses the engines to order to {@code target} now, those with the oldest version first, then
+   * Chooses the engines to update to {@code target} now, those with the oldest version first, then
    * the least loaded, and counts them as in flight. A swap pauses generation, so engines in {@code
    * awaited}, which run samples that a trainer waits for, are deferred for a limited time.
    */
@@ -66,7 +66,10 @@
     return chosen;
   }
 
-  /** Records that an order was answered or failed. */
+  /**
+   * Records the end of an order; {@code done} is whether the engine executed it. Otherwise it is
+   * retried after a backoff.
+   */
   public void onResponse(ServerId engine, boolean done, long nowMillis) {
     inFlight.remove(engine);
     if (done) {
--- a/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestForwarder.java
@@ -51,7 +51,7 @@
   private final RunListener runListener;
   private int inProgress;
 
-  /** Receives the requests that servers began to run. */
+  /** Receives the requests that a server ran or may have run. */
   interface RunListener {
     /** Called once for each request; the time of sending is in monotonic milliseconds. */
     void onRunStarted(String tenant, long sentAtMillis);
@@ -160,8 +160,8 @@
     }
 
     @Override
-    public void onRejected(Reject verdict) {
-      fail(verdict.reason().text());
+    public void onRejected(Reject rejection) {
+      fail(rejection.reason().text());
     }
 
     /** Sends the request to the next server; returns false if no attempt is in progress. */
@@ -169,7 +169,7 @@
       if (isDone || crashGuard.isClaiming()) {
         return true;
       }
-      updateTimeLost();
+      updateUncountedTime();
       if (!crashGuard.mayRun(plan.inProgress() > 0, this::onTrialClaimed)) {
         return crashGuard.isClaiming() || plan.inProgress() > 0;
       }
@@ -183,7 +183,7 @@
       return true;
     }
 
-    private void updateTimeLost() {
+    private void updateUncountedTime() {
       plan.onUncountedTime(lostToClockJumpsMillis() - lostAtStartMillis);
     }
 
@@ -266,7 +266,7 @@
       }
     }
 
-    /** Reports the request as run, once for all attempts. */
+    /** Reports that a server ran or may have run the request; only the first call has an effect. */
     private void reportRunOnce(long sentAtMillis) {
       if (!isReportedAsRun) {
         isReportedAsRun = true;
@@ -278,7 +278,7 @@
       if (isDone) {
         return;
       }
-      updateTimeLost();
+      updateUncountedTime();
       switch (plan.onEnded(outcome, context.nowMillis())) {
         case DELIVER -> finish(new ForwardOutcome.Answered(answer, plan.serverErrors()));
         case TRY_NEXT -> context.timers().after(backoffMillis(outcome), this::tryNextOrFail);
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCandidates.java
@@ -81,21 +81,22 @@
   private void refresh(String name, Service service) {
     List<ServerEntry> ready = directory.servers().readyServersOf(name);
     List<Member> live = liveMembers();
-    boolean isSameFleet = live.equals(service.nodes);
-    if (isSameFleet && ready.equals(service.ready)) {
+    boolean hasSameNodes = live.equals(service.nodes);
+    if (hasSameNodes && ready.equals(service.ready)) {
       return;
     }
-    boolean isSameServers = ServerSubset.haveSameSubsets(ready, service.ready);
+    boolean hasSameServers = ServerSubset.haveSameSubsets(ready, service.ready);
     service.ready = ready;
     service.nodes = live;
-    if (isSameFleet && isSameServers) {
+    if (hasSameNodes && hasSameServers) {
       // Entries change with each weight version, but subsets do not depend on versions.
       service.subset = service.subset.withEntries(ready);
       return;
     }
-    // The first choice changes with the servers, so that a new server gets its share of nodes.
+    // The first choice changes with the servers, so that a new server becomes the first choice of
+    // its share of the nodes.
     ServerSubset newSubset = ServerSubset.of(self, live, ready);
-    service.subset = isSameServers ? newSubset.withFirstChoiceOf(service.subset) : newSubset;
+    service.subset = hasSameServers ? newSubset.withFirstChoiceOf(service.subset) : newSubset;
     LOG.atDebug()
         .addKeyValue("service", name)
         .addKeyValue("nodes", live.size())
@@ -121,7 +122,10 @@
     return service.ready.stream().mapToInt(server -> health.inProgress(server.incarnation())).sum();
   }
 
-  /** Returns whether a server is in this node's zone or in a subset, which is chosen by zone. */
+  /**
+   * Returns whether a server is in this node's zone, or in its subset if that is partial; a subset
+   * prefers servers of the node's zone.
+   */
   private boolean isNear(ServerEntry server) {
     Service service = services.get(server.service());
     return server.zone().equals(self.zone())
--- a/protocol/src/main/java/org/passhaven/protocol/LogRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/LogRecord.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A record that passhaven writes to the platform's log. State is rebuilt by replaying these
- * records.
+ * A log record of a shard, of the configuration, of an intent or of a snapshot of a stream; their
+ * state is rebuilt by replaying these records. Jobs, duties, heartbeats and usage have record types
+ * of their own.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
--- a/protocol/src/main/java/org/passhaven/protocol/PeerRequest.java
+++ b/protocol/src/main/java/org/passhaven/protocol/PeerRequest.java
@@ -32,8 +32,8 @@
       implements ToOwner {}
 
   /**
-   * Requests the samples after {@code cursor}; advancing the cursor acknowledges all samples before
-   * it.
+   * Requests the samples from {@code cursor} on; advancing the cursor acknowledges all samples
+   * before it.
    */
   record PullSamples(
       ShardId shard, long step, long cursor, long trainerVersion, int most, long waitMillis)
--- a/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
+++ b/protocol/src/main/java/org/passhaven/protocol/PeerResponse.java
@@ -30,7 +30,7 @@
   record Refused(String reason) implements PeerResponse {}
 
   /**
-   * Samples after the cursor, in order; {@code slots} is the number of slots of the step in this
+   * Samples from the cursor on, in order; {@code slots} is the number of slots of the step in this
    * shard.
    */
   record Samples(List<Sample> samples, int slots) implements PeerResponse {}
--- a/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
+++ b/protocol/src/main/java/org/passhaven/protocol/crash/CrashNote.java
@@ -38,7 +38,7 @@
 
   /**
    * Reservation of a trial: one node incarnation runs the request once, to find out whether it
-   * crashes another server. The first record of a trial number wins.
+   * crashes another server. The first note of a trial number wins.
    *
    * @param number number of the trial of this request, from 1
    */
--- a/protocol/src/main/java/org/passhaven/protocol/duty/DutyRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/duty/DutyRecord.java
@@ -39,8 +39,8 @@
    * Announcement that the holder may send orders for a short time after it sent this record.
    *
    * @param number number of the record within one incarnation of the node
-   * @param othersQuietMillis time between the last record read that allows another node to send
-   *     orders and the sending of this record
+   * @param othersQuietMillis time that had passed, when this record was sent, since the writer read
+   *     the last record that allows another node to send orders
    */
   record Intended(long epoch, String node, long incarnation, long number, long othersQuietMillis)
       implements DutyRecord {}
@@ -52,8 +52,8 @@
   record Released(long epoch, String node, long incarnation) implements DutyRecord {}
 
   /**
-   * Report of a server to the holder that it has reached a weight version, before the entry of the
-   * server is updated.
+   * Record of the holder that a server has reached a weight version; other nodes learn it from this
+   * record before the server's entry is updated.
    *
    * @param serverBornMillis start time of the server; zero if it reports none
    */
@@ -68,8 +68,8 @@
       implements DutyRecord {}
 
   /**
-   * The final usage counts of a window, which every holder reports unchanged. The first record of a
-   * window wins.
+   * The final usage counts of a window, which every holder of the lease reports unchanged. The
+   * first record of a window wins.
    *
    * @param counts requests by tenant
    * @param readTo offset in the usage stream up to which the counts were added up
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobItem.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobItem.java
@@ -6,7 +6,7 @@
 /**
  * A request of a batch job.
  *
- * @param id identity of the request at the server, unique in the job
+ * @param id id under which the request is sent to the server; unique in the job
  * @param path path and query
  * @param headers header fields passed to the server unchanged
  * @param group group of items with the same prompt; empty if there is none
--- a/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/job/JobRecord.java
@@ -6,9 +6,9 @@
 import java.util.Objects;
 
 /**
- * A log record of a job partition. The state of the jobs is rebuilt by replaying these records. The
- * first of several equivalent records wins, so duplicates, late records and records of former
- * runners have no effect.
+ * A log record of one of the partitions that the runs are divided among. The state of the jobs is
+ * rebuilt by replaying these records. The first of several equivalent records wins, so duplicates,
+ * late records and records of former owners of a run have no effect.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
--- a/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/MemberBeat.java
@@ -13,8 +13,8 @@
  * @param requestsPerSecond recent rate of forwarded requests
  * @param periodMillis time until the next heartbeat is due; zero if not reported
  * @param cores number of processor cores of the machine; zero if not reported
- * @param inLogMillis milliseconds since the log acknowledged the first heartbeat of this
- *     incarnation, plus one; one before that, zero if not reported
+ * @param inLogMillis 1 in heartbeats sent before the log acknowledged the first one of this
+ *     incarnation, then 1 plus the milliseconds since that acknowledgement; 0 if not reported
  * @param serverUse the node's use of model servers that it shares with other nodes; omitted from
  *     the encoding if empty, and ignored by older nodes
  */
@@ -29,7 +29,10 @@
     double cores,
     long inLogMillis,
     @JsonInclude(JsonInclude.Include.NON_EMPTY) List<ServerUse> serverUse) {
-  /** Value of {@link #inLogMillis} in the first heartbeat of an incarnation. */
+  /**
+   * Value of {@link #inLogMillis} until the log has acknowledged the first heartbeat of an
+   * incarnation.
+   */
   public static final long FIRST_IN_LOG_MILLIS = 1;
 
   /** An incarnation of a node. */
--- a/protocol/src/main/java/org/passhaven/protocol/member/ServerUse.java
+++ b/protocol/src/main/java/org/passhaven/protocol/member/ServerUse.java
@@ -8,9 +8,11 @@
  * array to keep heartbeats small, so new fields may only be appended.
  *
  * @param server id of the server
- * @param bornMillis start time that the server reports; zero if it reports none
+ * @param bornMillis start time that the server reports, in milliseconds since 1970; zero if it
+ *     reports none
  * @param inProgress number of generations of the node in progress at the server
- * @param pauseMillis sustained pause between two events of a text from the server; zero if unknown
+ * @param pauseMillis sustained interval between the events of a text from the server, which ignores
+ *     transient slowness; zero if unknown
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record ServerUse(String server, long bornMillis, int inProgress, int pauseMillis) {
--- a/protocol/src/main/java/org/passhaven/protocol/usage/UsageRecord.java
+++ b/protocol/src/main/java/org/passhaven/protocol/usage/UsageRecord.java
@@ -4,9 +4,9 @@
 import java.util.Objects;
 
 /**
- * Number of requests that one incarnation of a node has started in one window so far, by tenant.
- * The highest counts of the same incarnation and window are used, so duplicate and late records
- * have no effect.
+ * Number of requests of one incarnation of a node that servers ran or may have run in one window so
+ * far, by tenant. The highest counts of the same incarnation and window are used, so duplicate and
+ * late records have no effect.
  *
  * @param incarnation incarnation of the node
  * @param window number of the window
--- a/spi/src/main/java/org/passhaven/spi/BackEndException.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndException.java
@@ -22,9 +22,7 @@
     UNREACHABLE,
     /** The stream was interrupted or is not a valid response to the request. */
     CUT,
-    /**
-     * The connection went silent together with others, which does not indicate a server failure.
-     */
+    /** Several connections went silent at once, so a server failure is not the likely cause. */
     SILENT
   }
 
--- a/spi/src/main/java/org/passhaven/spi/BackEndService.java
+++ b/spi/src/main/java/org/passhaven/spi/BackEndService.java
@@ -7,11 +7,17 @@
 import org.passhaven.protocol.job.HeaderField;
 
 /**
- * Client of the servers that run opaque requests. Each call names the server incarnation that it is
- * meant for; any other at the same address rejects it. Cancelling a call closes its connection.
+ * Client of the servers of services, among them model servers: runs requests and generations, reads
+ * server reports and orders weight versions. Each call names the id of the server that it is meant
+ * for; a server with another id at the same address rejects it. Cancelling a call closes its
+ * connection.
  */
 public interface BackEndService {
-  /** A server incarnation and its address. */
+  /**
+   * A server and its address.
+   *
+   * @param instance id of the server; a restarted server may keep it
+   */
   record Target(String instance, String address) {
     public Target {
       Objects.requireNonNull(instance, "instance");
@@ -51,7 +57,7 @@
    * A complete response that was verified to belong to its request.
    *
    * @param notRun whether the server reports that it did not run the request
-   * @param signature signature of the server for its response; empty if there is none
+   * @param signature signature by which the server confirms its response; empty if there is none
    * @param headers header fields to pass on to the caller
    */
   record Answer(
@@ -76,7 +82,7 @@
 
   /** Progress of a generation. */
   sealed interface Progress {
-    /** The server has started; {@code version} is zero if it reports none. */
+    /** The server has started the generation; {@code version} is zero if it reports none. */
     record Began(long version) implements Progress {}
 
     /** An event of the text; {@code version} is zero if unchanged. */
@@ -132,14 +138,14 @@
   }
 
   /**
-   * Determines whether a server incarnation has definitely terminated: nothing listens at its
-   * address, or another incarnation does. Fails if this cannot be determined.
+   * Determines whether a server has definitely terminated: nothing listens at its address, or a
+   * server with another id does. Fails if this cannot be determined.
    */
-  Uni<Boolean> hasEnded(Target target, long limitMillis);
+  Uni<Boolean> hasEnded(Target target, long timeoutMillis);
 
   /** Requests the state of a server. */
-  Uni<Report> report(Target target, long limitMillis);
+  Uni<Report> report(Target target, long timeoutMillis);
 
   /** Orders a server to load a weight version. A failed order may still be executed later. */
-  Uni<OrderOutcome> order(Target target, Order order, long limitMillis);
+  Uni<OrderOutcome> order(Target target, Order order, long timeoutMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/LogService.java
+++ b/spi/src/main/java/org/passhaven/spi/LogService.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Client of the platform's append-only log, which needs no compare-and-set. An append may take
- * effect although its response is lost; callers retry it and readers drop duplicates.
+ * Client of the platform's append-only log. An implementation needs no compare-and-set. An append
+ * may take effect although its response is lost; callers retry it and readers drop duplicates.
  */
 public interface LogService {
   /** Offset that requests only the last record of a stream. */
@@ -41,15 +41,15 @@
   /**
    * Reads existing records from an offset: about {@code maxBytes}, but at least one record. A large
    * response over a slow link may take long, so the read times out only after a period without
-   * activity.
+   * activity. The default implementation ignores {@code maxBytes}.
    */
   default Uni<Batch> readHistory(String stream, long fromOffset, int maxBytes) {
     return read(stream, fromOffset, Integer.MAX_VALUE, 0);
   }
 
   /**
-   * Reads up to {@code most} records from an offset; waits up to {@code waitMillis} for the first
-   * one.
+   * Reads up to {@code maxRecords} records from an offset; waits up to {@code waitMillis} for the
+   * first one.
    */
-  Uni<Batch> read(String stream, long fromOffset, int most, long waitMillis);
+  Uni<Batch> read(String stream, long fromOffset, int maxRecords, long waitMillis);
 }
--- a/spi/src/main/java/org/passhaven/spi/MachineList.java
+++ b/spi/src/main/java/org/passhaven/spi/MachineList.java
@@ -5,14 +5,15 @@
 
 /** Client of the platform's list of live and leaving machines. The list is updated with a delay. */
 public interface MachineList {
-  /** Type of a machine. */
+  /** What runs on a machine. */
   enum Kind {
     NODE,
     ENGINE,
+    /** A server of a service. */
     SERVICE
   }
 
-  /** Lifecycle state of a machine. */
+  /** Whether a machine stays in operation. */
   enum State {
     LIVE,
     LEAVING
