--- a/node/src/main/java/org/passhaven/node/follow/HistoryReads.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
@@ -19,7 +19,7 @@
  * the same. Each stream has one read under way, whose records are all kept. Used on the node's
  * thread.
  */
-public final class HistoryReads {
+public final class HistoryReadQueue {
   /**
    * A second's worth of a 2 Mbit/s link, and more than one submission: a lost piece costs little.
    */
@@ -32,7 +32,7 @@
   private int underWay;
 
   /** Creates the reads of one node. */
-  public HistoryReads(LogService log, Timers timers) {
+  public HistoryReadQueue(LogService log, Timers timers) {
     this.log = Objects.requireNonNull(log, "log");
     this.timers = Objects.requireNonNull(timers, "timers");
   }
--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -36,7 +36,7 @@
 
   private final LogService log;
   private final Timers timers;
-  private final HistoryReads history;
+  private final HistoryReadQueue history;
   private final String stream;
   private final LongSupplier betweenMillis;
   private final Listener listener;
@@ -56,7 +56,7 @@
   /** Creates a tail of a stream whose history is short. */
   public LogTail(
       LogService log, Timers timers, String stream, LongSupplier betweenMillis, Listener listener) {
-    this(log, timers, new HistoryReads(log, timers), stream, betweenMillis, listener);
+    this(log, timers, new HistoryReadQueue(log, timers), stream, betweenMillis, listener);
   }
 
   /**
@@ -69,7 +69,7 @@
   public LogTail(
       LogService log,
       Timers timers,
-      HistoryReads history,
+      HistoryReadQueue history,
       String stream,
       LongSupplier betweenMillis,
       Listener listener) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -19,7 +19,7 @@
 import org.passhaven.core.job.JobTable;
 import org.passhaven.core.job.RunOwners;
 import org.passhaven.core.member.HeartbeatTable;
-import org.passhaven.node.follow.HistoryReads;
+import org.passhaven.node.follow.HistoryReadQueue;
 import org.passhaven.node.follow.LogTail;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.CodecException;
@@ -61,7 +61,7 @@
   private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
   private static final LongHashFunction HASH = LongHashFunction.xx3();
   private final GatewayContext context;
-  private final HistoryReads history;
+  private final HistoryReadQueue history;
   private final ResultTextCache texts;
   private final JobTable table = new JobTable();
   private final long[] lastCallAtMillis;
@@ -78,7 +78,7 @@
   /** Creates the log; {@link #start} starts to follow it. */
   public JobLog(GatewayContext context) {
     this.context = Objects.requireNonNull(context, "context");
-    this.history = new HistoryReads(context.log(), context.timers());
+    this.history = new HistoryReadQueue(context.log(), context.timers());
     this.texts = new ResultTextCache(context);
     this.owners = new RunOwners(context.settings().node(), context.incarnation(), this::streamOf);
     int partitions = context.settings().jobPartitions();
@@ -236,7 +236,7 @@
   }
 
   /** Returns the reads of history that this node's components share. */
-  HistoryReads history() {
+  HistoryReadQueue history() {
     return history;
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -11,7 +11,7 @@
 import org.passhaven.core.job.ItemText;
 import org.passhaven.core.job.JobScheduler;
 import org.passhaven.core.job.TextTable;
-import org.passhaven.node.follow.HistoryReads;
+import org.passhaven.node.follow.HistoryReadQueue;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.CodecException;
 import org.passhaven.protocol.job.TextRecord;
@@ -46,7 +46,7 @@
   private static final long TRIM_PERIOD_MILLIS = 5_000;
   private static final LongHashFunction HASH = LongHashFunction.xx3();
   private final GatewayContext context;
-  private final HistoryReads history;
+  private final HistoryReadQueue history;
   private final JobScheduler scheduler;
   private final Runnable onRead;
   private final Map<String, OwnedRun> runs = new HashMap<>();
@@ -82,7 +82,7 @@
    * @param onRead called when a predecessor's texts were read or abandoned
    */
   PartialTextLog(
-      GatewayContext context, HistoryReads history, JobScheduler scheduler, Runnable onRead) {
+      GatewayContext context, HistoryReadQueue history, JobScheduler scheduler, Runnable onRead) {
     this.context = Objects.requireNonNull(context, "context");
     this.history = Objects.requireNonNull(history, "history");
     this.scheduler = Objects.requireNonNull(scheduler, "scheduler");
--- a/node/src/test/java/org/passhaven/node/follow/HistoryReadsTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/HistoryReadsTest.java
@@ -23,7 +23,7 @@
 
   private final ManualTimers timers = new ManualTimers();
   private final HeldLog log = new HeldLog();
-  private final HistoryReads reads = new HistoryReads(log, timers);
+  private final HistoryReadQueue reads = new HistoryReadQueue(log, timers);
   private final List<String> ends = new ArrayList<>();
 
   /** A log whose answers the test gives. */
