--- a/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
@@ -48,7 +48,7 @@
   }
 
   /** Reads a piece before all others that wait: somebody's work stands still until it is read. */
-  public Uni<Batch> readFirst(String stream, long from) {
+  public Uni<Batch> readWithPriority(String stream, long from) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
--- a/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartialTextLog.java
@@ -126,7 +126,7 @@
   /** Reads batch after batch up to the end of the stream. */
   private Uni<Void> readAll(OwnedRun owned, long offset, Runnable onProgress) {
     return history
-        .readFirst(owned.stream, offset)
+        .readWithPriority(owned.stream, offset)
         .chain(
             batch -> {
               onProgress.run();
--- a/node/src/test/java/org/passhaven/node/follow/HistoryReadsTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/HistoryReadsTest.java
@@ -113,7 +113,7 @@
   @Test
   void textsOfARunComeBeforeOtherHistory() {
     ask(AT_FIRST + 1);
-    ask(reads.readFirst("texts.0", 0), "texts.0");
+    ask(reads.readWithPriority("texts.0", 0), "texts.0");
     timers.advance(500);
     log.answer("s.0");
     assertThat(log.asked.keySet(), contains("s.1", "s.2", "s.3", "texts.0"));
