--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -96,7 +96,7 @@
   }
 
   /** Offset behind the last record that was given. */
-  public long position() {
+  public long nextOffset() {
     return next;
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -217,7 +217,7 @@
   }
 
   private long positionOf(String stream) {
-    return tails.get(Integer.parseInt(stream.substring(STREAM_PREFIX.length()))).position();
+    return tails.get(Integer.parseInt(stream.substring(STREAM_PREFIX.length()))).nextOffset();
   }
 
   /** Returns the claim to append if this node is the next owner of a run. */
@@ -335,7 +335,7 @@
       return;
     }
     if (record instanceof JobRecord.RunClaimed taken) {
-      onRunClaimed(taken, tails.get(partition).position() - 1);
+      onRunClaimed(taken, tails.get(partition).nextOffset() - 1);
     } else if (record instanceof JobRecord.OfJob ofJob) {
       onJobRecord(ofJob);
     }
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -252,7 +252,7 @@
     boolean isSentSinceJump = clockJumpsAtAppend == context.timers().clockJumps().count();
     if (firstOffsetAfterJump == Long.MAX_VALUE && isSentSinceJump) {
       firstOffsetAfterJump = offset;
-      if (tail.position() > offset) {
+      if (tail.nextOffset() > offset) {
         lastOwnReadMillis = context.nowMillis();
       }
     }
@@ -290,7 +290,7 @@
   private void onOwnHeartbeatRead() {
     long now = nowMillis();
     ownHeartbeatsRead++;
-    if (tail.position() > firstOffsetAfterJump) {
+    if (tail.nextOffset() > firstOffsetAfterJump) {
       lastOwnReadMillis = now;
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
+++ b/node/src/main/java/org/passhaven/node/gateway/UsageReporter.java
@@ -77,7 +77,7 @@
 
   private void onCounts(byte[] bytes) {
     try {
-      table.onRecord(Codec.decode(bytes, UsageRecord.class), tail.position() - 1);
+      table.onRecord(Codec.decode(bytes, UsageRecord.class), tail.nextOffset() - 1);
     } catch (CodecException e) {
       LOG.atError().addKeyValue("reason", e.getMessage()).log("usage: a record can't be read");
     }
@@ -138,7 +138,7 @@
             context.incarnation(),
             window,
             table.totals(window),
-            table.firstOffsetAfter(window).orElse(tail.position())));
+            table.firstOffsetAfter(window).orElse(tail.nextOffset())));
   }
 
   private void send(Map.Entry<Long, Map<String, Long>> due, long nowMillis) {
