--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -106,7 +106,7 @@
   }
 
   /** How long ago the log last answered a read of this stream; empty if it never did. */
-  public OptionalLong silentMillis() {
+  public OptionalLong millisSinceLastRead() {
     return answeredAtMillis == Long.MIN_VALUE
         ? OptionalLong.empty()
         : OptionalLong.of(timers.nowMillis() - answeredAtMillis);
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -270,7 +270,7 @@
     Map<String, String> laggingStreams = new LinkedHashMap<>();
     for (LogTail tail : tails) {
       if (!tail.isCaughtUp()) {
-        OptionalLong silent = tail.silentMillis();
+        OptionalLong silent = tail.millisSinceLastRead();
         laggingStreams.put(
             tail.stream(), silent.isPresent() ? silent.getAsLong() + " ms" : "no answer yet");
       }
