--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -135,7 +135,7 @@
   }
 
   /** The read that waits may never be answered: another one takes its place. */
-  public void renew() {
+  public void restartReads() {
     if (pause.isRunning()) {
       hurry();
     } else if (current.isUnderWay() && caughtUp) {
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -74,7 +74,7 @@
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
   void restartReads() {
-    tail.renew();
+    tail.restartReads();
   }
 
   /** Returns whether this node holds the lease according to the records read so far. */
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -147,7 +147,7 @@
       lastOwnReadMillis = NEVER_MILLIS;
       firstOffsetAfterJump = Long.MAX_VALUE;
       lastHeartbeatSentMillis = NEVER_MILLIS;
-      tail.renew();
+      tail.restartReads();
       clockJumpCallback.run();
     }
     return now;
