--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -137,7 +137,7 @@
   /** The read that waits may never be answered: another one takes its place. */
   public void restartReads() {
     if (pause.isRunning()) {
-      hurry();
+      endReadPause();
     } else if (current.isUnderWay() && caughtUp) {
       readOn();
     }
@@ -153,7 +153,7 @@
   }
 
   /** Somebody waits for news of the stream: a pause between reads ends now. */
-  public void hurry() {
+  public void endReadPause() {
     pause.cutShort();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -69,7 +69,7 @@
   void start() {
     tail.start(0);
     context.timers().every(context.settings().decisionInterval().toMillis(), this::decide);
-    jobs.addOwnerListener(tail::hurry);
+    jobs.addOwnerListener(tail::endReadPause);
   }
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -171,7 +171,7 @@
   void onCallerRequest(String run) {
     int partition = partitionOf(run);
     lastCallAtMillis[partition] = context.nowMillis();
-    tails.get(partition).hurry();
+    tails.get(partition).endReadPause();
   }
 
   /**
@@ -195,7 +195,7 @@
     if (heartbeats != null) {
       lastRankedAtMillis = NEVER_MILLIS;
       startScheduler.schedule(heartbeats);
-      tails.forEach(LogTail::hurry);
+      tails.forEach(LogTail::endReadPause);
     }
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/MembershipAgent.java
@@ -122,7 +122,7 @@
     if (currentPeriodMillis() < announcedPeriodMillis) {
       sendIfDue();
     }
-    tail.hurry();
+    tail.endReadPause();
   }
 
   /** Returns the heartbeats of all nodes. */
@@ -236,7 +236,7 @@
     recordWritten(offset);
     if (isFollowing && context.nowMillis() - firstWrittenAtMillis < SETTLE_MILLIS) {
       // A starting node needs its own heartbeat back to know whether the others are alive.
-      tail.hurry();
+      tail.endReadPause();
     }
     if (!isFollowing) {
       isFollowing = true;
