--- a/node/src/main/java/org/passhaven/node/follow/TableFollower.java
+++ b/node/src/main/java/org/passhaven/node/follow/TableFollower.java
@@ -146,7 +146,7 @@
    * How long ago the table was last read to its end, as far as this node's clock tells; empty if it
    * never was, or not since a suspension.
    */
-  public OptionalLong silentMillis() {
+  public OptionalLong millisSinceLastRead() {
     return answeredAtMillis == NEVER
         ? OptionalLong.empty()
         : OptionalLong.of(timers.nowMillis() - answeredAtMillis);
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -124,7 +124,7 @@
    * it never did.
    */
   public OptionalLong configurationAgeMillis() {
-    return operator.silentMillis();
+    return operator.millisSinceLastRead();
   }
 
   /** Returns the registered servers. */
@@ -187,7 +187,7 @@
           .addKeyValue("before", routes.version())
           .addKeyValue("routes", table.size())
           .addKeyValue("source", operator.isListing() ? "listing" : "changes")
-          .addKeyValue("silentMillis", text(operator.silentMillis()))
+          .addKeyValue("silentMillis", text(operator.millisSinceLastRead()))
           .log("configuration: in force");
       routes = table;
       notifyListeners();
