--- a/node/src/main/java/org/passhaven/node/follow/TableFollower.java
+++ b/node/src/main/java/org/passhaven/node/follow/TableFollower.java
@@ -212,7 +212,7 @@
   }
 
   /** The read that waits may never be answered: another one takes its place. */
-  public void renew() {
+  public void restartReads() {
     answeredAtMillis = NEVER;
     if (pause.isRunning()) {
       hurry();
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -71,7 +71,7 @@
 
   /** Restarts the reads of the table, since pending ones may never be answered. */
   void restartReads() {
-    follower.renew();
+    follower.restartReads();
   }
 
   /** Returns whether no request is suspected, so that fingerprints need not be computed. */
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -84,8 +84,8 @@
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
   void restartReads() {
-    operator.renew();
-    serverEntries.renew();
+    operator.restartReads();
+    serverEntries.restartReads();
   }
 
   /** Adds a listener that runs after each change. */
--- a/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
@@ -97,7 +97,7 @@
     timers.advance(3 * PAUSE_MILLIS);
     UniEmitter<? super Changes> late = hung;
     changesLeft = 1;
-    follower.renew();
+    follower.restartReads();
     assertThat(keys, equalTo(List.of("key0", "key1", "key2", "key3")));
     late.complete(new Changes(List.of(new TableService.Entry("old", new byte[1])), false, 3));
     timers.advance(3 * PAUSE_MILLIS);
