--- a/node/src/main/java/org/passhaven/node/follow/TableFollower.java
+++ b/node/src/main/java/org/passhaven/node/follow/TableFollower.java
@@ -215,7 +215,7 @@
   public void restartReads() {
     answeredAtMillis = NEVER;
     if (pause.isRunning()) {
-      hurry();
+      endReadPause();
     } else if (current.isUnderWay()) {
       readAtOnce();
     }
@@ -274,7 +274,7 @@
   }
 
   /** Somebody waits for news of the table: a pause between reads ends now. */
-  public void hurry() {
+  public void endReadPause() {
     pause.cutShort();
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -79,7 +79,7 @@
 
   /** Ends the current pause between reads, for a node that now needs changes of servers at once. */
   void endReadPause() {
-    serverEntries.hurry();
+    serverEntries.endReadPause();
   }
 
   /** Restarts pending reads, which may never complete after a suspension of the process. */
--- a/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
@@ -76,7 +76,7 @@
 
   @Test
   void whoNeedsNewsEndsThePause() {
-    follower.hurry();
+    follower.endReadPause();
     assertThat(keys, equalTo(List.of("key0", "key1")));
     assertThat(readAtMillis.size(), equalTo(2));
     timers.advance(3 * PAUSE_MILLIS);
@@ -88,7 +88,7 @@
   void hurryingAReadThatWaitsChangesNothing() {
     timers.advance(3 * PAUSE_MILLIS);
     int reads = readAtMillis.size();
-    follower.hurry();
+    follower.endReadPause();
     assertThat(readAtMillis.size(), equalTo(reads));
   }
 
