--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -234,7 +234,7 @@
   }
 
   private void claimIfFree() {
-    boolean allowed = stream.isCaughtUp() && stream.isFresh() && !stopping && !claiming;
+    boolean allowed = stream.isCaughtUp() && stream.hasReadRecently() && !stopping && !claiming;
     if (!allowed || !lease.mayClaim(now(), rank * RANK_WAIT_MILLIS)) {
       return;
     }
--- a/node/src/main/java/org/passhaven/node/stream/StreamClient.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamClient.java
@@ -126,7 +126,7 @@
    * Whether the log answered a read a short while ago; its silence says nothing of others
    * otherwise.
    */
-  public boolean isFresh() {
+  public boolean hasReadRecently() {
     return context.timers().nowMillis() - lastReadMillis <= readWaitMillis + FRESH_MARGIN_MILLIS;
   }
 
