--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -176,7 +176,7 @@
   }
 
   @Override
-  public void onLogBack(long downMillis) {
+  public void onLogRecovered(long downMillis) {
     // The holder could not renew either: it gets a whole term before anybody else may claim.
     if (downMillis > context.settings().lease().renewInterval().toMillis()) {
       lease.onLogRecovered(now());
--- a/node/src/main/java/org/passhaven/node/stream/StreamClient.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamClient.java
@@ -255,7 +255,7 @@
 
   private void onBatch(LogService.Batch batch) {
     if (failingSinceMillis != Long.MAX_VALUE) {
-      listener.onLogBack(context.timers().nowMillis() - failingSinceMillis);
+      listener.onLogRecovered(context.timers().nowMillis() - failingSinceMillis);
     }
     failingSinceMillis = Long.MAX_VALUE;
     lastReadMillis = context.timers().nowMillis();
--- a/node/src/main/java/org/passhaven/node/stream/StreamListener.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamListener.java
@@ -18,7 +18,7 @@
   default void onCaughtUp() {}
 
   /** The log can be read again after it could not for {@code downMillis}. */
-  default void onLogBack(long downMillis) {}
+  default void onLogRecovered(long downMillis) {}
 
   /** Forget the fold; it continues from {@code image}, or from nothing if that is empty. */
   default void onRestore(byte[] image) {}
