--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -156,7 +156,8 @@
     List<Member> members =
         group.stream().map(machine -> new Member(machine.id(), machine.zone())).toList();
     Set<Member> own =
-        new LinkedHashSet<>(Partition.membersOf(use.partitionIndex(), use.parts(), members));
+        new LinkedHashSet<>(
+            Partition.membersOf(use.partitionIndex(), use.partitionCount(), members));
     List<Machine> ownPart = own.stream().map(member -> byName.get(member.name())).toList();
     for (Member further : Rendezvous.rank(use.user(), members, use.least())) {
       if (own.size() < use.least()) {
--- a/node/src/main/java/org/passhaven/node/backend/EngineUse.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineUse.java
@@ -12,10 +12,11 @@
  * @param user decides which further engines are taken
  * @param group engine group
  * @param partitionIndex number of the user's part, from zero
- * @param parts number of parts
+ * @param partitionCount number of parts
  * @param least engines that the user takes at least, if the group has as many
  */
-public record EngineUse(String user, String group, int partitionIndex, int parts, int least) {
+public record EngineUse(
+    String user, String group, int partitionIndex, int partitionCount, int least) {
   public EngineUse {
     Objects.requireNonNull(user, "user");
     Objects.requireNonNull(group, "group");
