--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -159,8 +159,8 @@
         new LinkedHashSet<>(
             Partition.membersOf(use.partitionIndex(), use.partitionCount(), members));
     List<Machine> ownPart = own.stream().map(member -> byName.get(member.name())).toList();
-    for (Member further : Rendezvous.rank(use.user(), members, use.least())) {
-      if (own.size() < use.least()) {
+    for (Member further : Rendezvous.rank(use.user(), members, use.minEngines())) {
+      if (own.size() < use.minEngines()) {
         own.add(further);
       }
     }
--- a/node/src/main/java/org/passhaven/node/backend/EngineUse.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineUse.java
@@ -13,10 +13,10 @@
  * @param group engine group
  * @param partitionIndex number of the user's part, from zero
  * @param partitionCount number of parts
- * @param least engines that the user takes at least, if the group has as many
+ * @param minEngines engines that the user takes at least, if the group has as many
  */
 public record EngineUse(
-    String user, String group, int partitionIndex, int partitionCount, int least) {
+    String user, String group, int partitionIndex, int partitionCount, int minEngines) {
   public EngineUse {
     Objects.requireNonNull(user, "user");
     Objects.requireNonNull(group, "group");
