--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -47,7 +47,7 @@
   }
 
   /** Declares a use of a group that lasts while {@code inUse} says so. */
-  public void use(EngineUse use, Supplier<Boolean> inUse) {
+  public void registerUse(EngineUse use, Supplier<Boolean> inUse) {
     uses.put(use, inUse);
   }
 
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -69,7 +69,7 @@
             node.completionParts(),
             node.context().settings().engineSubset());
     node.engines()
-        .use(use, () -> node.configuration().inForce().models().containsKey(body.model()));
+        .registerUse(use, () -> node.configuration().inForce().models().containsKey(body.model()));
     EnginePicker picker =
         new LeastLoadedPicker(node.engines().views(use), node.context().settings().zone());
     Optional<EngineView> engine = picker.pick(0, null);
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -277,7 +277,7 @@
 
   private void dispatch() {
     EngineUse use = use();
-    engines.use(use, this::isOwner);
+    engines.registerUse(use, this::isOwner);
     if (engines.isCurrent()) {
       carryOut(coordinator.dispatch(engines.views(use), context.settings().zone(), now()));
     }
