--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -57,7 +57,7 @@
   }
 
   /** Engines of a use's own part: those that the user orders to new versions. */
-  public List<EngineView> ownPart(EngineUse use) {
+  public List<EngineView> ownEngines(EngineUse use) {
     return views(chosenFor(use).ownPart());
   }
 
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -345,7 +345,7 @@
   private void orderVersions() {
     if (lease.mayAct(now())) {
       orders.send(
-          engines.ownPart(use()),
+          engines.ownEngines(use()),
           coordinator.enginesOfPulledStep(),
           settings().model(),
           coordinator.trainerVersion());
