--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -84,7 +84,7 @@
   }
 
   /** A generation went to an engine. */
-  public void onBegin(ServerId engine) {
+  public void onGenerationStarted(ServerId engine) {
     known(engine).outstanding++;
   }
 
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -88,7 +88,7 @@
         new GenerationRequest(
             id, body.model(), body.prompt(), body.seed(), new int[0], INTERACTIVE_PRIORITY);
     List<Choice> choices = new ArrayList<>();
-    node.engines().onBegin(engine.id());
+    node.engines().onGenerationStarted(engine.id());
     Cancellable running =
         node.context()
             .platform()
--- a/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
+++ b/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
@@ -58,7 +58,7 @@
             generate.priority());
     Running entry = new Running(generate.engine().id(), context.timers().nowMillis());
     running.put(attempt, entry);
-    engines.onBegin(entry.engine);
+    engines.onGenerationStarted(entry.engine);
     context.metrics().generationsBegun.increment();
     entry.stop =
         context
