--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -89,7 +89,7 @@
   }
 
   /** A generation left an engine; {@code failed} if the engine or the way to it was at fault. */
-  public void onEnd(ServerId engine, boolean failed) {
+  public void onGenerationEnded(ServerId engine, boolean failed) {
     Known known = known(engine);
     known.outstanding--;
     if (failed) {
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -95,7 +95,9 @@
             .engines()
             .generate(engine.address(), request)
             .onTermination()
-            .invoke((failure, cancelled) -> node.engines().onEnd(engine.id(), failure != null))
+            .invoke(
+                (failure, cancelled) ->
+                    node.engines().onGenerationEnded(engine.id(), failure != null))
             .subscribe()
             .with(
                 segment -> onSegment(routing, body, id, choices, segment),
--- a/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
+++ b/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
@@ -107,7 +107,7 @@
   private boolean end(AttemptId attempt, boolean failed) {
     Running entry = running.remove(attempt);
     if (entry != null) {
-      engines.onEnd(entry.engine, failed);
+      engines.onGenerationEnded(entry.engine, failed);
     }
     return entry != null;
   }
@@ -151,7 +151,7 @@
   }
 
   private void stop(Running entry) {
-    engines.onEnd(entry.engine, false);
+    engines.onGenerationEnded(entry.engine, false);
     if (entry.stop != null) {
       entry.stop.cancel();
     }
