--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -100,7 +100,7 @@
   }
 
   /** An engine was seen to serve a version, in an answer or in tokens. */
-  public void onVersionSeen(ServerId engine, long incarnation, long version) {
+  public void onVersionObserved(ServerId engine, long incarnation, long version) {
     Known known = known(engine);
     if (known.report != null
         && known.report.incarnation() == incarnation
--- a/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
+++ b/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
@@ -85,7 +85,7 @@
       return;
     }
     entry.progressAtMillis = context.timers().nowMillis();
-    engines.onVersionSeen(segment.engine(), segment.incarnation(), segment.version());
+    engines.onVersionObserved(segment.engine(), segment.incarnation(), segment.version());
     if (!listener.onSegment(attempt, segment)) {
       cancel(attempt);
     }
--- a/node/src/main/java/org/passhaven/node/run/VersionOrders.java
+++ b/node/src/main/java/org/passhaven/node/run/VersionOrders.java
@@ -47,7 +47,7 @@
   private void onOutcome(EngineView engine, VersionOrder order, boolean done) {
     rollout.onResponse(engine.id(), done, context.timers().nowMillis());
     if (done) {
-      engines.onVersionSeen(engine.id(), engine.incarnation(), order.version());
+      engines.onVersionObserved(engine.id(), engine.incarnation(), order.version());
     }
   }
 }
