--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -150,7 +150,7 @@
   }
 
   private Chosen choose(EngineUse use) {
-    List<Machine> group = machines.of(MachineList.Kind.ENGINE, use.group());
+    List<Machine> group = machines.machinesOf(MachineList.Kind.ENGINE, use.group());
     Map<String, Machine> byName = new LinkedHashMap<>();
     group.forEach(machine -> byName.put(machine.id(), machine));
     List<Member> members =
--- a/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
+++ b/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
@@ -46,7 +46,7 @@
   }
 
   /** Machines of a kind and group. */
-  public List<Machine> of(Kind kind, String group) {
+  public List<Machine> machinesOf(Kind kind, String group) {
     return machines.getOrDefault(kind, Map.of()).getOrDefault(group, List.of());
   }
 
--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -31,7 +31,7 @@
   /** Servers of a group that stay. */
   public List<ServiceView> views(String group) {
     long now = context.timers().nowMillis();
-    return machines.of(MachineList.Kind.SERVICE, group).stream()
+    return machines.machinesOf(MachineList.Kind.SERVICE, group).stream()
         .filter(machine -> machine.state() == MachineList.State.LIVE)
         .map(machine -> view(machine, now))
         .toList();
