--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -48,7 +48,7 @@
   }
 
   /** A request went to a server. */
-  public void onBegin(ServerId server) {
+  public void onRequestStarted(ServerId server) {
     known(server).outstanding++;
   }
 
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -222,7 +222,7 @@
     }
     ServerId id = server.get().id();
     call.tried.add(id);
-    servers.onBegin(id);
+    servers.onRequestStarted(id);
     long limit = attemptLimit(call, left);
     Uni<Response> sent =
         context.platform().services().call(server.get().address(), call.caller.request(), limit);
