--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -53,7 +53,7 @@
   }
 
   /** A request was answered. */
-  public void onAnswered(ServerId server) {
+  public void onRequestAnswered(ServerId server) {
     Known known = known(server);
     known.outstanding--;
     known.health.onSuccess(context.timers().nowMillis());
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -232,7 +232,7 @@
         .subscribe()
         .with(
             response -> {
-              servers.onAnswered(id);
+              servers.onRequestAnswered(id);
               emitter.complete(new RequestOutcome.Answered(response));
             },
             failure -> onFailure(call, emitter, id, PlatformException.from(failure)));
