--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -60,7 +60,7 @@
   }
 
   /** A request failed on the way or in the server. */
-  public void onFailed(ServerId server) {
+  public void onRequestFailed(ServerId server) {
     Known known = known(server);
     known.outstanding--;
     known.health.onFailure(context.timers().nowMillis());
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -260,7 +260,7 @@
     if (saidSo) {
       servers.onRefused(server);
     } else {
-      servers.onFailed(server);
+      servers.onRequestFailed(server);
     }
     call.mayHaveRun |= !notRun;
     boolean repeatable = notRun || call.requestClass == RequestClass.REPEATABLE;
