--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -70,7 +70,7 @@
    * The server said that it did not run a request: it leaves or is full, so it gets nothing for a
    * while.
    */
-  public void onRefused(ServerId server) {
+  public void onRequestRejected(ServerId server) {
     Known known = known(server);
     known.outstanding--;
     known.refusingUntilMillis = context.timers().nowMillis() + Known.REFUSAL_PAUSE_MILLIS;
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -258,7 +258,7 @@
     boolean notRun = failure.kind() == PlatformException.Kind.NOT_RUN;
     boolean saidSo = notRun && failure.getCause() == null;
     if (saidSo) {
-      servers.onRefused(server);
+      servers.onRequestRejected(server);
     } else {
       servers.onRequestFailed(server);
     }
