--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -61,14 +61,14 @@
         new RequestService(
             context,
             new ServiceDirectory(context, machines),
-            configuration::inForce,
+            configuration::activeImage,
             membership::alive);
     this.runs =
         new RunManager(
             context, engines, new ServiceSampleScorer(context, requests), membership::alive);
     this.rollouts =
         new RolloutService(
-            new OwnerClient(context, runs, membership::alive), configuration::inForce);
+            new OwnerClient(context, runs, membership::alive), configuration::activeImage);
     configuration.addListener(
         image -> {
           membership.setRevision(image.revision());
@@ -152,7 +152,7 @@
                     context.incarnation(),
                     0,
                     MemberState.Status.LEAVING,
-                    configuration.inForce().revision()));
+                    configuration.activeImage().revision()));
     return new Status(self, membership.others(), runs.owned(), runs.followed(), isReady());
   }
 
@@ -167,7 +167,9 @@
       answers.add(
           self
               ? Uni.createFrom()
-                  .item(new NodeRevision(member.node().value(), configuration.inForce().revision()))
+                  .item(
+                      new NodeRevision(
+                          member.node().value(), configuration.activeImage().revision()))
               : askRevision(member));
     }
     return Uni.join().all(answers).andFailFast();
@@ -201,7 +203,7 @@
     } else if (request instanceof PeerRequest.FetchConfiguration fetch) {
       return Uni.createFrom().item(configuration.onFetch(fetch));
     }
-    return Uni.createFrom().item(new PeerResponse.Revision(configuration.inForce().revision()));
+    return Uni.createFrom().item(new PeerResponse.Revision(configuration.activeImage().revision()));
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -65,7 +65,7 @@
   private final ConfigurationLog log = new ConfigurationLog();
   private final List<Consumer<ConfigurationSnapshot>> listeners = new ArrayList<>();
   private List<ConfigurationDocument> documentsInForce = List.of();
-  private ConfigurationSnapshot inForce = ConfigurationSnapshot.EMPTY;
+  private ConfigurationSnapshot activeImage = ConfigurationSnapshot.EMPTY;
 
   /** Creates the agent; {@code members} gives the nodes that may be asked for a newer image. */
   public ConfigurationAgent(
@@ -88,8 +88,8 @@
   }
 
   /** Image in force. */
-  public ConfigurationSnapshot inForce() {
-    return inForce;
+  public ConfigurationSnapshot activeImage() {
+    return activeImage;
   }
 
   /** Documents in force. */
@@ -99,7 +99,7 @@
 
   /** Whether this node has learnt the configuration from the log or from a peer. */
   public boolean isReady() {
-    return stream.isCaughtUp() || inForce.revision() > 0;
+    return stream.isCaughtUp() || activeImage.revision() > 0;
   }
 
   /**
@@ -140,7 +140,7 @@
           .trainers()
           .forEach(
               (name, settings) -> {
-                TrainerSettings now = inForce.trainers().get(name);
+                TrainerSettings now = activeImage.trainers().get(name);
                 if (now != null && !now.shards().equals(settings.shards())) {
                   errors.add(
                       "trainer/" + name + ": shards: can't change; give the trainer a new name");
@@ -166,18 +166,18 @@
   }
 
   private void putInForce(long revision, List<ConfigurationDocument> documents) {
-    if (revision <= inForce.revision()) {
+    if (revision <= activeImage.revision()) {
       return;
     }
     try {
-      inForce = parser.snapshot(revision, documents);
+      activeImage = parser.snapshot(revision, documents);
     } catch (ConfigurationException e) {
       LOG.error("configuration: revision {} can't be read here: {}", revision, e.getMessage());
       return;
     }
     documentsInForce = documents;
     LOG.debug("configuration: revision {} is in force", revision);
-    listeners.forEach(listener -> listener.accept(inForce));
+    listeners.forEach(listener -> listener.accept(activeImage));
   }
 
   /** Asks a peer for its image if the log is down or if that peer is known to be ahead. */
@@ -188,14 +188,14 @@
             .toList();
     Optional<MemberState> ahead =
         others.stream()
-            .filter(state -> state.revision() > inForce.revision())
+            .filter(state -> state.revision() > activeImage.revision())
             .max(Comparator.comparingLong(MemberState::revision));
     if (others.isEmpty() || (ahead.isEmpty() && !stream.isDown())) {
       return;
     }
     MemberState peer =
         ahead.orElseGet(() -> others.get(context.randomBelow().applyAsInt(others.size())));
-    PeerRequest request = new PeerRequest.FetchConfiguration(inForce.revision());
+    PeerRequest request = new PeerRequest.FetchConfiguration(activeImage.revision());
     Uni<PeerResponse> call =
         context.platform().peers().call(peer.address(), request, PEER_LIMIT_MILLIS);
     context
@@ -215,7 +215,8 @@
 
   /** Answers a peer that asks for a newer image. */
   public PeerResponse onFetch(PeerRequest.FetchConfiguration request) {
-    boolean newer = inForce.revision() > request.newerThan();
-    return new PeerResponse.Configuration(inForce.revision(), newer ? documentsInForce : List.of());
+    boolean newer = activeImage.revision() > request.newerThan();
+    return new PeerResponse.Configuration(
+        activeImage.revision(), newer ? documentsInForce : List.of());
   }
 }
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -52,7 +52,7 @@
   private void handle(RoutingContext routing) {
     Body body = Answers.body(routing, Body.class);
     ModelSettings model =
-        body.model() == null ? null : node.configuration().inForce().models().get(body.model());
+        body.model() == null ? null : node.configuration().activeImage().models().get(body.model());
     if (model == null || body.prompt() == null) {
       Answers.problem(
           routing,
@@ -69,7 +69,8 @@
             node.completionParts(),
             node.context().settings().engineSubset());
     node.engines()
-        .registerUse(use, () -> node.configuration().inForce().models().containsKey(body.model()));
+        .registerUse(
+            use, () -> node.configuration().activeImage().models().containsKey(body.model()));
     EnginePicker picker =
         new LeastLoadedPicker(node.engines().views(use), node.context().settings().zone());
     Optional<EngineView> engine = picker.pick(0, null);
--- a/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
@@ -110,7 +110,7 @@
         routing,
         Answers.OK,
         new ConfigurationAnswer(
-            node.configuration().inForce().revision(), node.configuration().documents()));
+            node.configuration().activeImage().revision(), node.configuration().documents()));
   }
 
   private void status(RoutingContext routing) {
