--- a/node/src/test/java/org/passhaven/node/follow/HistoryReadsTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/HistoryReadQueueTest.java
@@ -17,7 +17,7 @@
 import org.passhaven.spi.LogService;
 import org.passhaven.spi.PlatformException;
 
-class HistoryReadsTest {
+class HistoryReadQueueTest {
   /** Reads that a node has under way before it knows the way to the log. */
   private static final int AT_FIRST = 4;
 
