--- a/node/src/main/java/org/passhaven/node/WatchedTimers.java
+++ b/node/src/main/java/org/passhaven/node/ClockJumpDetectingTimers.java
@@ -11,14 +11,14 @@
  * Timers that compare the clocks each time the monotonic one is read, so that whoever asks the time
  * before it acts learns of a suspension before it acts. Two readings of clocks, some 50 ns.
  */
-public final class WatchedTimers implements Timers {
-  private static final Logger LOG = LoggerFactory.getLogger(WatchedTimers.class);
+public final class ClockJumpDetectingTimers implements Timers {
+  private static final Logger LOG = LoggerFactory.getLogger(ClockJumpDetectingTimers.class);
   private final Timers timers;
   private final ClockJumpDetector watch = new ClockJumpDetector();
   private ClockJumps gaps = ClockJumps.NONE;
 
   /** Watches the clocks of {@code timers}. */
-  public WatchedTimers(Timers timers) {
+  public ClockJumpDetectingTimers(Timers timers) {
     this.timers = Objects.requireNonNull(timers, "timers");
   }
 
--- a/node/src/main/java/org/passhaven/node/NodeContext.java
+++ b/node/src/main/java/org/passhaven/node/NodeContext.java
@@ -36,7 +36,7 @@
         settings,
         incarnation,
         platform,
-        new WatchedTimers(timers),
+        new ClockJumpDetectingTimers(timers),
         randomBelow,
         metrics,
         recordSequence);
--- a/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
+++ b/node/src/main/java/org/passhaven/node/gateway/GatewayContext.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.function.IntUnaryOperator;
-import org.passhaven.node.WatchedTimers;
+import org.passhaven.node.ClockJumpDetectingTimers;
 import org.passhaven.spi.BackEndService;
 import org.passhaven.spi.DutyService;
 import org.passhaven.spi.LogService;
@@ -43,7 +43,7 @@
     return new GatewayContext(
         settings,
         incarnation,
-        new WatchedTimers(timers),
+        new ClockJumpDetectingTimers(timers),
         randomBelow,
         log,
         tables,
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.passhaven.node.ClockJumpDetectingTimers;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
-import org.passhaven.node.WatchedTimers;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.member.MemberBeat;
 import org.passhaven.protocol.member.ServerUse;
@@ -35,7 +35,7 @@
           new GatewayContext(
               GatewayFixture.settings(1, 262_144, 2_097_152),
               1,
-              new WatchedTimers(timers),
+              new ClockJumpDetectingTimers(timers),
               bound -> 0,
               log,
               new GatewayFixture.SilentTables(),
--- a/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/SubsetForwardTest.java
@@ -32,9 +32,9 @@
 import org.passhaven.core.placement.Member;
 import org.passhaven.core.route.Route;
 import org.passhaven.core.route.ServiceShare;
+import org.passhaven.node.ClockJumpDetectingTimers;
 import org.passhaven.node.ManualTimers;
 import org.passhaven.node.MemoryLog;
-import org.passhaven.node.WatchedTimers;
 import org.passhaven.protocol.Codec;
 import org.passhaven.protocol.member.MemberBeat;
 import org.passhaven.spi.BackEndService.Answer;
@@ -120,7 +120,7 @@
         new GatewayContext(
             GatewayFixture.settings(SELF, 1, 262_144, 2_097_152),
             1,
-            new WatchedTimers(timers),
+            new ClockJumpDetectingTimers(timers),
             bound -> 0,
             new MemoryLog(timers),
             tables.asService(),
