--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -35,7 +35,7 @@
   public record Status(
       MemberState self,
       List<MemberState> others,
-      List<ShardId> owned,
+      List<ShardId> ownedShards,
       int followed,
       boolean ready) {}
 
--- a/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
@@ -121,7 +121,7 @@
         new StatusAnswer(
             member(status.self()),
             status.others().stream().map(OperatorHandler::member).toList(),
-            status.owned().stream().map(Object::toString).sorted().toList(),
+            status.ownedShards().stream().map(Object::toString).sorted().toList(),
             status.followed(),
             status.ready()));
   }
--- a/simulator/src/test/java/org/passhaven/simulator/RecoveryTest.java
+++ b/simulator/src/test/java/org/passhaven/simulator/RecoveryTest.java
@@ -49,14 +49,14 @@
 
   private NodeHost owner() {
     return world.nodes().stream()
-        .filter(host -> host.node() != null && !host.node().status().owned().isEmpty())
+        .filter(host -> host.node() != null && !host.node().status().ownedShards().isEmpty())
         .findFirst()
         .orElseThrow();
   }
 
   private boolean isOwned() {
     return world.nodes().stream()
-        .anyMatch(host -> host.node() != null && !host.node().status().owned().isEmpty());
+        .anyMatch(host -> host.node() != null && !host.node().status().ownedShards().isEmpty());
   }
 
   private long millisUntilDelivery() {
