--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -191,7 +191,7 @@
   }
 
   /** Serves a message of another node. */
-  public Uni<PeerResponse> onPeer(PeerRequest request) {
+  public Uni<PeerResponse> onPeerRequest(PeerRequest request) {
     if (request instanceof PeerRequest.ToOwner toOwner) {
       return runs.onRequest(toOwner);
     } else if (request instanceof PeerRequest.Gossip gossip) {
--- a/node/src/main/java/org/passhaven/node/http/NodeServer.java
+++ b/node/src/main/java/org/passhaven/node/http/NodeServer.java
@@ -147,7 +147,7 @@
   private void peer(RoutingContext routing) {
     try {
       PeerRequest request = Codec.decode(routing.body().buffer().getBytes(), PeerRequest.class);
-      node.onPeer(request)
+      node.onPeerRequest(request)
           .subscribe()
           .with(
               response ->
--- a/simulator/src/main/java/org/passhaven/simulator/network/SimulatedPeerTransport.java
+++ b/simulator/src/main/java/org/passhaven/simulator/network/SimulatedPeerTransport.java
@@ -73,7 +73,7 @@
     PeerRequest request = Codec.decode(bytes, PeerRequest.class);
     TrafficMeter targetMeter = meters.apply(target.name());
     count(targetMeter, request instanceof PeerRequest.SubmitStep, bytes.length);
-    node.onPeer(request)
+    node.onPeerRequest(request)
         .subscribe()
         .with(
             response ->
