--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -124,7 +124,7 @@
   }
 
   /** Live nodes with this one. */
-  public List<MemberState> alive() {
+  public List<MemberState> liveNodes() {
     return membership.alive();
   }
 
