--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -17,7 +17,7 @@
  * @param seeds peer addresses asked first, beside the machine list
  * @param lease clock rules of leases
  * @param membership pace of heartbeats
- * @param tick time between two rounds of an owner's decisions
+ * @param decisionInterval time between two rounds of an owner's decisions
  * @param machineListPeriod time between two looks at the machine list
  * @param reportPeriod time between two load reports of an engine
  * @param reportsPerRound most engines that are asked for a report in one period
@@ -34,7 +34,7 @@
     List<String> seeds,
     LeaseTiming lease,
     MembershipSettings membership,
-    Duration tick,
+    Duration decisionInterval,
     Duration machineListPeriod,
     Duration reportPeriod,
     int reportsPerRound,
@@ -80,7 +80,7 @@
         seeds,
         lease,
         membership,
-        tick,
+        decisionInterval,
         machineListPeriod,
         reportPeriod,
         reportsPerRound,
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -91,7 +91,7 @@
   /** Begins to follow the stream. */
   public void start() {
     stream.start();
-    ticking = context.timers().every(context.settings().tick().toMillis(), this::tick);
+    ticking = context.timers().every(context.settings().decisionInterval().toMillis(), this::tick);
   }
 
   /** Place among the shard's candidates, from zero; later ones wait longer before they claim. */
