--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -18,7 +18,7 @@
  * @param lease clock rules of leases
  * @param membership pace of heartbeats
  * @param decisionInterval time between two rounds of an owner's decisions
- * @param machineListPeriod time between two looks at the machine list
+ * @param machineListInterval time between two looks at the machine list
  * @param reportPeriod time between two load reports of an engine
  * @param reportsPerRound most engines that are asked for a report in one period
  * @param candidates nodes that follow a shard's stream: the owner and its standbys
@@ -35,7 +35,7 @@
     LeaseTiming lease,
     MembershipSettings membership,
     Duration decisionInterval,
-    Duration machineListPeriod,
+    Duration machineListInterval,
     Duration reportPeriod,
     int reportsPerRound,
     int candidates,
@@ -81,7 +81,7 @@
         lease,
         membership,
         decisionInterval,
-        machineListPeriod,
+        machineListInterval,
         reportPeriod,
         reportsPerRound,
         candidates,
--- a/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
+++ b/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
@@ -42,7 +42,7 @@
   /** Begins to watch. */
   public void start() {
     fetch();
-    context.timers().every(context.settings().machineListPeriod().toMillis(), this::fetch);
+    context.timers().every(context.settings().machineListInterval().toMillis(), this::fetch);
   }
 
   /** Machines of a kind and group. */
