--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -19,7 +19,7 @@
  * @param membership pace of heartbeats
  * @param decisionInterval time between two rounds of an owner's decisions
  * @param machineListInterval time between two looks at the machine list
- * @param reportPeriod time between two load reports of an engine
+ * @param loadReportInterval time between two load reports of an engine
  * @param reportsPerRound most engines that are asked for a report in one period
  * @param candidates nodes that follow a shard's stream: the owner and its standbys
  * @param engineSubset engines of a group that one user takes at least
@@ -36,7 +36,7 @@
     MembershipSettings membership,
     Duration decisionInterval,
     Duration machineListInterval,
-    Duration reportPeriod,
+    Duration loadReportInterval,
     int reportsPerRound,
     int candidates,
     int engineSubset,
@@ -82,7 +82,7 @@
         membership,
         decisionInterval,
         machineListInterval,
-        reportPeriod,
+        loadReportInterval,
         reportsPerRound,
         candidates,
         engineSubset,
--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -43,7 +43,7 @@
 
   /** Begins to ask for reports. */
   public void start() {
-    context.timers().every(context.settings().reportPeriod().toMillis(), this::askRound);
+    context.timers().every(context.settings().loadReportInterval().toMillis(), this::askRound);
   }
 
   /** Declares a use of a group that lasts while {@code inUse} says so. */
