--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -20,7 +20,7 @@
  * @param decisionInterval time between two rounds of an owner's decisions
  * @param machineListInterval time between two looks at the machine list
  * @param loadReportInterval time between two load reports of an engine
- * @param reportsPerRound most engines that are asked for a report in one period
+ * @param maxReportsPerInterval most engines that are asked for a report in one period
  * @param candidates nodes that follow a shard's stream: the owner and its standbys
  * @param engineSubset engines of a group that one user takes at least
  * @param intentStreams streams over which idempotency keys are spread
@@ -37,7 +37,7 @@
     Duration decisionInterval,
     Duration machineListInterval,
     Duration loadReportInterval,
-    int reportsPerRound,
+    int maxReportsPerInterval,
     int candidates,
     int engineSubset,
     int intentStreams,
@@ -83,7 +83,7 @@
         decisionInterval,
         machineListInterval,
         loadReportInterval,
-        reportsPerRound,
+        maxReportsPerInterval,
         candidates,
         engineSubset,
         intentStreams,
--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -129,7 +129,7 @@
             Comparator.comparingLong(
                     (Machine machine) -> known(new ServerId(machine.id())).askedAtMillis)
                 .thenComparing(Machine::id))
-        .limit(context.settings().reportsPerRound())
+        .limit(context.settings().maxReportsPerInterval())
         .forEach(this::ask);
   }
 
