--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -21,7 +21,7 @@
  * @param machineListInterval time between two looks at the machine list
  * @param loadReportInterval time between two load reports of an engine
  * @param maxReportsPerInterval most engines that are asked for a report in one period
- * @param candidates nodes that follow a shard's stream: the owner and its standbys
+ * @param candidatesPerShard nodes that follow a shard's stream: the owner and its standbys
  * @param engineSubset engines of a group that one user takes at least
  * @param intentStreams streams over which idempotency keys are spread
  * @param swapsAtOnce most engines of a group that swap weights at the same time
@@ -38,7 +38,7 @@
     Duration machineListInterval,
     Duration loadReportInterval,
     int maxReportsPerInterval,
-    int candidates,
+    int candidatesPerShard,
     int engineSubset,
     int intentStreams,
     int swapsAtOnce,
@@ -84,7 +84,7 @@
         machineListInterval,
         loadReportInterval,
         maxReportsPerInterval,
-        candidates,
+        candidatesPerShard,
         engineSubset,
         intentStreams,
         swapsAtOnce,
--- a/node/src/main/java/org/passhaven/node/run/OwnerClient.java
+++ b/node/src/main/java/org/passhaven/node/run/OwnerClient.java
@@ -104,7 +104,7 @@
     }
     List<MemberState> candidates =
         new ArrayList<>(
-            ShardPlacement.candidates(shard, alive.get(), context.settings().candidates()));
+            ShardPlacement.candidates(shard, alive.get(), context.settings().candidatesPerShard()));
     return candidates.isEmpty()
         ? context.settings().address()
         : candidates.get(tries % candidates.size()).address();
--- a/node/src/main/java/org/passhaven/node/run/RunManager.java
+++ b/node/src/main/java/org/passhaven/node/run/RunManager.java
@@ -93,7 +93,7 @@
 
   private int rankOf(ShardId shard, List<MemberState> members) {
     List<MemberState> candidates =
-        ShardPlacement.candidates(shard, members, context.settings().candidates());
+        ShardPlacement.candidates(shard, members, context.settings().candidatesPerShard());
     for (int rank = 0; rank < candidates.size(); rank++) {
       if (candidates.get(rank).node().equals(context.settings().node())) {
         return rank;
