--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -22,7 +22,7 @@
  * @param loadReportInterval time between two load reports of an engine
  * @param maxReportsPerInterval most engines that are asked for a report in one period
  * @param candidatesPerShard nodes that follow a shard's stream: the owner and its standbys
- * @param engineSubset engines of a group that one user takes at least
+ * @param minEngineSubsetSize engines of a group that one user takes at least
  * @param intentStreams streams over which idempotency keys are spread
  * @param swapsAtOnce most engines of a group that swap weights at the same time
  * @param dispatchPolicy how owners choose engines
@@ -39,7 +39,7 @@
     Duration loadReportInterval,
     int maxReportsPerInterval,
     int candidatesPerShard,
-    int engineSubset,
+    int minEngineSubsetSize,
     int intentStreams,
     int swapsAtOnce,
     DispatchPolicy dispatchPolicy) {
@@ -85,7 +85,7 @@
         loadReportInterval,
         maxReportsPerInterval,
         candidatesPerShard,
-        engineSubset,
+        minEngineSubsetSize,
         intentStreams,
         swapsAtOnce,
         policy);
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -67,7 +67,7 @@
             model.engineGroup(),
             node.completionPart(),
             node.completionParts(),
-            node.context().settings().engineSubset());
+            node.context().settings().minEngineSubsetSize());
     node.engines()
         .registerUse(
             use, () -> node.configuration().activeImage().models().containsKey(body.model()));
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -272,7 +272,7 @@
         group,
         shard.index(),
         settings().shards(),
-        context.settings().engineSubset());
+        context.settings().minEngineSubsetSize());
   }
 
   private void dispatch() {
