--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -23,7 +23,7 @@
  * @param maxReportsPerInterval most engines that are asked for a report in one period
  * @param candidatesPerShard nodes that follow a shard's stream: the owner and its standbys
  * @param minEngineSubsetSize engines of a group that one user takes at least
- * @param intentStreams streams over which idempotency keys are spread
+ * @param intentStreamCount streams over which idempotency keys are spread
  * @param swapsAtOnce most engines of a group that swap weights at the same time
  * @param dispatchPolicy how owners choose engines
  */
@@ -40,7 +40,7 @@
     int maxReportsPerInterval,
     int candidatesPerShard,
     int minEngineSubsetSize,
-    int intentStreams,
+    int intentStreamCount,
     int swapsAtOnce,
     DispatchPolicy dispatchPolicy) {
   public NodeSettings {
@@ -86,7 +86,7 @@
         maxReportsPerInterval,
         candidatesPerShard,
         minEngineSubsetSize,
-        intentStreams,
+        intentStreamCount,
         swapsAtOnce,
         policy);
   }
--- a/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
+++ b/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
@@ -50,7 +50,7 @@
    * send, whoever tries.
    */
   Uni<RequestOutcome> carry(RequestCall call) {
-    String stream = IntentTable.streamOf(call.key(), context.settings().intentStreams());
+    String stream = IntentTable.streamOf(call.key(), context.settings().intentStreamCount());
     Optional<MemberState> keeper = keeperOf(stream);
     if (call.forwarded
         || keeper.isEmpty()
