--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -24,7 +24,7 @@
  * @param candidatesPerShard nodes that follow a shard's stream: the owner and its standbys
  * @param minEngineSubsetSize engines of a group that one user takes at least
  * @param intentStreamCount streams over which idempotency keys are spread
- * @param swapsAtOnce most engines of a group that swap weights at the same time
+ * @param maxConcurrentSwaps most engines of a group that swap weights at the same time
  * @param dispatchPolicy how owners choose engines
  */
 public record NodeSettings(
@@ -41,7 +41,7 @@
     int candidatesPerShard,
     int minEngineSubsetSize,
     int intentStreamCount,
-    int swapsAtOnce,
+    int maxConcurrentSwaps,
     DispatchPolicy dispatchPolicy) {
   public NodeSettings {
     Objects.requireNonNull(node, "node");
@@ -87,7 +87,7 @@
         candidatesPerShard,
         minEngineSubsetSize,
         intentStreamCount,
-        swapsAtOnce,
+        maxConcurrentSwaps,
         policy);
   }
 }
--- a/node/src/main/java/org/passhaven/node/run/VersionOrders.java
+++ b/node/src/main/java/org/passhaven/node/run/VersionOrders.java
@@ -23,7 +23,7 @@
   VersionOrders(NodeContext context, EngineDirectory engines) {
     this.context = Objects.requireNonNull(context, "context");
     this.engines = Objects.requireNonNull(engines, "engines");
-    this.rollout = new VersionRollout(context.settings().swapsAtOnce());
+    this.rollout = new VersionRollout(context.settings().maxConcurrentSwaps());
   }
 
   /** Sends the orders that are due; engines in {@code awaited} come later. */
