--- a/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
@@ -132,7 +132,7 @@
       throw new Answers.BadBodyException("version: must not be below 0");
     }
     rollouts
-        .stateVersion(routing.pathParam("trainer"), body.version(), LIMIT_MILLIS)
+        .reportVersion(routing.pathParam("trainer"), body.version(), LIMIT_MILLIS)
         .subscribe()
         .with(
             ignored -> Answers.json(routing, Answers.OK, new Done(true)),
--- a/node/src/main/java/org/passhaven/node/run/RolloutService.java
+++ b/node/src/main/java/org/passhaven/node/run/RolloutService.java
@@ -116,7 +116,7 @@
   }
 
   /** States the trainer's current weight version. */
-  public Uni<Void> stateVersion(String trainer, long version, long limitMillis) {
+  public Uni<Void> reportVersion(String trainer, long version, long limitMillis) {
     return toAll(trainer, limitMillis, shard -> new PeerRequest.StateVersion(shard, version));
   }
 
--- a/simulator/src/main/java/org/passhaven/simulator/world/SimulatedTrainerApi.java
+++ b/simulator/src/main/java/org/passhaven/simulator/world/SimulatedTrainerApi.java
@@ -56,7 +56,7 @@
 
   @Override
   public Uni<Void> stateVersion(String trainer, long version) {
-    return call(node -> node.rollouts().stateVersion(trainer, version, NODE_LIMIT_MILLIS));
+    return call(node -> node.rollouts().reportVersion(trainer, version, NODE_LIMIT_MILLIS));
   }
 
   private <T> Uni<T> call(Function<Node, Uni<T>> request) {
