--- a/node/src/main/java/org/passhaven/node/run/RolloutService.java
+++ b/node/src/main/java/org/passhaven/node/run/RolloutService.java
@@ -32,7 +32,7 @@
    * @param cursor cursor after these samples: one position for each shard
    * @param total samples in the step
    */
-  public record Pulled(List<Sample> samples, List<Long> cursor, int total) {
+  public record PullResult(List<Sample> samples, List<Long> cursor, int total) {
     /** Whether the cursor is past the last sample. */
     public boolean isComplete() {
       return cursor.stream().mapToLong(Long::longValue).sum() >= total;
@@ -71,7 +71,7 @@
    *
    * @param cursor one position for each shard; empty for the start
    */
-  public Uni<Pulled> pull(
+  public Uni<PullResult> pull(
       String trainer,
       long step,
       List<Long> cursor,
@@ -101,7 +101,7 @@
     return all(parts).map(answers -> merge(from, answers));
   }
 
-  private static Pulled merge(List<Long> from, List<PeerResponse> answers) {
+  private static PullResult merge(List<Long> from, List<PeerResponse> answers) {
     failIfRefused(answers);
     List<Sample> samples = new ArrayList<>();
     List<Long> cursor = new ArrayList<>();
@@ -112,7 +112,7 @@
       cursor.add(from.get(index) + part.samples().size());
       total += part.slots();
     }
-    return new Pulled(samples, cursor, total);
+    return new PullResult(samples, cursor, total);
   }
 
   /** States the trainer's current weight version. */
