--- a/node/src/main/java/org/passhaven/node/run/RunManager.java
+++ b/node/src/main/java/org/passhaven/node/run/RunManager.java
@@ -53,7 +53,7 @@
   }
 
   /** Shards whose lease this node holds. */
-  public List<ShardId> owned() {
+  public List<ShardId> ownedShards() {
     return agents.entrySet().stream()
         .filter(entry -> entry.getValue().isOwner())
         .map(Map.Entry::getKey)
