--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -153,7 +153,8 @@
                     0,
                     MemberState.Status.LEAVING,
                     configuration.activeImage().revision()));
-    return new Status(self, membership.others(), runs.ownedShards(), runs.followed(), isReady());
+    return new Status(
+        self, membership.others(), runs.ownedShards(), runs.followedShardCount(), isReady());
   }
 
   /** Revision in force at one node; 0 if it did not answer. */
--- a/node/src/main/java/org/passhaven/node/run/RunManager.java
+++ b/node/src/main/java/org/passhaven/node/run/RunManager.java
@@ -61,7 +61,7 @@
   }
 
   /** Number of shards that this node follows. */
-  public int followed() {
+  public int followedShardCount() {
     return agents.size();
   }
 
