--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -11,7 +11,7 @@
 /** A log in memory whose calls a test makes fail, lose their answers or be forgotten. */
 public final class MemoryLog implements LogService {
   /** How calls behave. */
-  public enum Manner {
+  public enum Behavior {
     SOUND,
     /** Nothing is done, and the caller is told. */
     REFUSES,
@@ -26,10 +26,10 @@
   private final Map<String, Long> firstKept = new HashMap<>();
 
   /** Manner of appends. */
-  public Manner appends = Manner.SOUND;
+  public Behavior appends = Behavior.SOUND;
 
   /** Manner of reads. */
-  public Manner reads = Manner.SOUND;
+  public Behavior reads = Behavior.SOUND;
 
   /** Whether reads that begin now give no answer, ever. */
   public boolean hangReads;
@@ -61,7 +61,7 @@
   public Uni<Long> append(String stream, List<byte[]> records) {
     appendCalls++;
     long offset = stream(stream).size();
-    if (appends == Manner.SOUND || appends == Manner.LOSES_ANSWERS) {
+    if (appends == Behavior.SOUND || appends == Behavior.LOSES_ANSWERS) {
       stream(stream).addAll(records);
     }
     return switch (appends) {
@@ -84,7 +84,7 @@
     if (hangReads) {
       return Uni.createFrom().nothing();
     }
-    if (reads != Manner.SOUND) {
+    if (reads != Behavior.SOUND) {
       return Uni.createFrom().failure(refused());
     }
     return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -144,10 +144,10 @@
 
   @Test
   void aFailedSaveOfATextIsRetried() {
-    log.appends = MemoryLog.Manner.REFUSES;
+    log.appends = MemoryLog.Behavior.REFUSES;
     timers.advance(300);
     assertThat(isTextSaved(), is(false));
-    log.appends = MemoryLog.Manner.SOUND;
+    log.appends = MemoryLog.Behavior.SOUND;
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -93,7 +93,7 @@
   @Test
   void aLostAppendAnswerIsRecoveredByReadingTheJobBack() {
     startLog();
-    log.appends = MemoryLog.Manner.LOSES_ANSWERS;
+    log.appends = MemoryLog.Behavior.LOSES_ANSWERS;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     assertThat(outcomes, contains(new JobOutcome.Done()));
@@ -102,7 +102,7 @@
   @Test
   void aSubmissionIsRefusedOnlyIfNoAppendCanHaveSucceeded() {
     startLog();
-    log.appends = MemoryLog.Manner.REFUSES;
+    log.appends = MemoryLog.Behavior.REFUSES;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 1_000));
     timers.advance(1_100);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Refused.class));
@@ -112,7 +112,7 @@
   @Test
   void anAppendInFlightIsNeverReportedAsRefused() {
     startLog();
-    log.appends = MemoryLog.Manner.SILENT;
+    log.appends = MemoryLog.Behavior.SILENT;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 500));
     timers.advance(600);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
@@ -141,11 +141,11 @@
     JobService smallService = new JobService(small, smallLog);
     smallLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
-    log.appends = MemoryLog.Manner.SILENT;
+    log.appends = MemoryLog.Behavior.SILENT;
     List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
     timers.advance(5_000);
     int calls = log.appendCalls;
-    log.appends = MemoryLog.Manner.SOUND;
+    log.appends = MemoryLog.Behavior.SOUND;
     timers.advance(2_000);
     assertThat(outcomes, contains(new JobOutcome.Done()));
     assertThat(log.appendCalls - calls, greaterThan(8));
@@ -236,13 +236,13 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    log.reads = MemoryLog.Manner.REFUSES;
+    log.reads = MemoryLog.Behavior.REFUSES;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
-    log.reads = MemoryLog.Manner.SOUND;
+    log.reads = MemoryLog.Behavior.SOUND;
     timers.advance(1_000);
     appendResult("x");
     timers.advance(1_000);
-    log.reads = MemoryLog.Manner.REFUSES;
+    log.reads = MemoryLog.Behavior.REFUSES;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Results.class));
   }
 
@@ -250,7 +250,7 @@
   void anUnknownJobIsNotFoundOnlyIfTheLogWasReadToItsEnd() {
     startLog();
     assertThat(ask(service.read("", "k", 0, 0)), contains(new JobOutcome.NotFound()));
-    log.reads = MemoryLog.Manner.REFUSES;
+    log.reads = MemoryLog.Behavior.REFUSES;
     assertThat(ask(service.read("", "k", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
   }
 
@@ -298,13 +298,13 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    log.appends = MemoryLog.Manner.SILENT;
+    log.appends = MemoryLog.Behavior.SILENT;
     List<JobOutcome> outcomes = ask(service.end("", "j", 800));
     timers.advance(500);
     assertThat(outcomes, hasSize(0));
     timers.advance(400);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
-    log.appends = MemoryLog.Manner.SOUND;
+    log.appends = MemoryLog.Behavior.SOUND;
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
     timers.advance(100);
     assertThat(jobLog.table().get("j").isEnded(), is(true));
