--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -12,7 +12,7 @@
 public final class MemoryLog implements LogService {
   /** How calls behave. */
   public enum Behavior {
-    SOUND,
+    NORMAL,
     /** Nothing is done, and the caller is told. */
     REFUSES,
     /** The append is done, its answer is lost. */
@@ -26,10 +26,10 @@
   private final Map<String, Long> firstKept = new HashMap<>();
 
   /** Manner of appends. */
-  public Behavior appends = Behavior.SOUND;
+  public Behavior appends = Behavior.NORMAL;
 
   /** Manner of reads. */
-  public Behavior reads = Behavior.SOUND;
+  public Behavior reads = Behavior.NORMAL;
 
   /** Whether reads that begin now give no answer, ever. */
   public boolean hangReads;
@@ -61,11 +61,11 @@
   public Uni<Long> append(String stream, List<byte[]> records) {
     appendCalls++;
     long offset = stream(stream).size();
-    if (appends == Behavior.SOUND || appends == Behavior.LOSES_ANSWERS) {
+    if (appends == Behavior.NORMAL || appends == Behavior.LOSES_ANSWERS) {
       stream(stream).addAll(records);
     }
     return switch (appends) {
-      case SOUND -> Uni.createFrom().item(offset);
+      case NORMAL -> Uni.createFrom().item(offset);
       case REFUSES -> Uni.createFrom().failure(refused());
       case LOSES_ANSWERS, SILENT -> lost();
     };
@@ -84,7 +84,7 @@
     if (hangReads) {
       return Uni.createFrom().nothing();
     }
-    if (reads != Behavior.SOUND) {
+    if (reads != Behavior.NORMAL) {
       return Uni.createFrom().failure(refused());
     }
     return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
@@ -69,7 +69,7 @@
     timers.advance(5_000);
     add("a");
     timers.advance(1_000);
-    log.reads = MemoryLog.Behavior.SOUND;
+    log.reads = MemoryLog.Behavior.NORMAL;
     timers.advance(500);
     assertThat(seen, contains("a"));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -147,7 +147,7 @@
     log.appends = MemoryLog.Behavior.REFUSES;
     timers.advance(300);
     assertThat(isTextSaved(), is(false));
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -145,7 +145,7 @@
     List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
     timers.advance(5_000);
     int calls = log.appendCalls;
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(outcomes, contains(new JobOutcome.Done()));
     assertThat(log.appendCalls - calls, greaterThan(8));
@@ -238,7 +238,7 @@
     timers.advance(100);
     log.reads = MemoryLog.Behavior.REFUSES;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
-    log.reads = MemoryLog.Behavior.SOUND;
+    log.reads = MemoryLog.Behavior.NORMAL;
     timers.advance(1_000);
     appendResult("x");
     timers.advance(1_000);
@@ -304,7 +304,7 @@
     assertThat(outcomes, hasSize(0));
     timers.advance(400);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
     timers.advance(100);
     assertThat(jobLog.table().get("j").isEnded(), is(true));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -103,7 +103,7 @@
     write(0, "one");
     timers.advance(5_000);
     assertThat(job().results(), hasSize(0));
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(texts(), contains(equalTo(List.of("one"))));
   }
@@ -113,7 +113,7 @@
     log.appends = MemoryLog.Behavior.LOSES_ANSWERS;
     write(0, "one");
     timers.advance(3_000);
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(job().results(), hasSize(1));
     assertThat(texts(), contains(equalTo(List.of("one"))));
@@ -129,7 +129,7 @@
     }
     timers.advance(6_000);
     int calls = log.appendCalls;
-    log.appends = MemoryLog.Behavior.SOUND;
+    log.appends = MemoryLog.Behavior.NORMAL;
     timers.advance(3_000);
     assertThat(job().results(), hasSize(ITEMS));
     // Full batches would need two appends; after five losses the first batch is limited to 64 KB.
