--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -14,7 +14,7 @@
   public enum Behavior {
     NORMAL,
     /** Nothing is done, and the caller is told. */
-    REFUSES,
+    REJECTS_CALLS,
     /** The append is done, its answer is lost. */
     LOSES_ANSWERS,
     /** Nothing is done, and no answer comes. */
@@ -66,7 +66,7 @@
     }
     return switch (appends) {
       case NORMAL -> Uni.createFrom().item(offset);
-      case REFUSES -> Uni.createFrom().failure(refused());
+      case REJECTS_CALLS -> Uni.createFrom().failure(refused());
       case LOSES_ANSWERS, SILENT -> lost();
     };
   }
--- a/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
@@ -65,7 +65,7 @@
   void anOutageIsWaitedOut() {
     tail.start(0);
     timers.advance(10);
-    log.reads = MemoryLog.Behavior.REFUSES;
+    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
     timers.advance(5_000);
     add("a");
     timers.advance(1_000);
@@ -212,7 +212,7 @@
   void aRefreshDuringAnOutageIsNotSure() {
     tail.start(0);
     timers.advance(10);
-    log.reads = MemoryLog.Behavior.REFUSES;
+    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
     List<Boolean> sure = new ArrayList<>();
     tail.refresh().subscribe().with(sure::add);
     assertThat(sure, equalTo(List.of(false)));
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -144,7 +144,7 @@
 
   @Test
   void aFailedSaveOfATextIsRetried() {
-    log.appends = MemoryLog.Behavior.REFUSES;
+    log.appends = MemoryLog.Behavior.REJECTS_CALLS;
     timers.advance(300);
     assertThat(isTextSaved(), is(false));
     log.appends = MemoryLog.Behavior.NORMAL;
