--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -16,7 +16,7 @@
     /** Nothing is done, and the caller is told. */
     REJECTS_CALLS,
     /** The append is done, its answer is lost. */
-    LOSES_ANSWERS,
+    LOSES_RESPONSES,
     /** Nothing is done, and no answer comes. */
     SILENT
   }
@@ -61,13 +61,13 @@
   public Uni<Long> append(String stream, List<byte[]> records) {
     appendCalls++;
     long offset = stream(stream).size();
-    if (appends == Behavior.NORMAL || appends == Behavior.LOSES_ANSWERS) {
+    if (appends == Behavior.NORMAL || appends == Behavior.LOSES_RESPONSES) {
       stream(stream).addAll(records);
     }
     return switch (appends) {
       case NORMAL -> Uni.createFrom().item(offset);
       case REJECTS_CALLS -> Uni.createFrom().failure(refused());
-      case LOSES_ANSWERS, SILENT -> lost();
+      case LOSES_RESPONSES, SILENT -> lost();
     };
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -93,7 +93,7 @@
   @Test
   void aLostAppendAnswerIsRecoveredByReadingTheJobBack() {
     startLog();
-    log.appends = MemoryLog.Behavior.LOSES_ANSWERS;
+    log.appends = MemoryLog.Behavior.LOSES_RESPONSES;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     assertThat(outcomes, contains(new JobOutcome.Done()));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -110,7 +110,7 @@
 
   @Test
   void anAppendWithALostAnswerIsRepeatedAndTheFirstResultCounts() {
-    log.appends = MemoryLog.Behavior.LOSES_ANSWERS;
+    log.appends = MemoryLog.Behavior.LOSES_RESPONSES;
     write(0, "one");
     timers.advance(3_000);
     log.appends = MemoryLog.Behavior.NORMAL;
