--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -18,7 +18,7 @@
     /** The append is done, its answer is lost. */
     LOSES_RESPONSES,
     /** Nothing is done, and no answer comes. */
-    SILENT
+    NEVER_RESPONDS
   }
 
   private final ManualTimers timers;
@@ -67,7 +67,7 @@
     return switch (appends) {
       case NORMAL -> Uni.createFrom().item(offset);
       case REJECTS_CALLS -> Uni.createFrom().failure(refused());
-      case LOSES_RESPONSES, SILENT -> lost();
+      case LOSES_RESPONSES, NEVER_RESPONDS -> lost();
     };
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -112,7 +112,7 @@
   @Test
   void anAppendInFlightIsNeverReportedAsRefused() {
     startLog();
-    log.appends = MemoryLog.Behavior.SILENT;
+    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 500));
     timers.advance(600);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
@@ -141,7 +141,7 @@
     JobService smallService = new JobService(small, smallLog);
     smallLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
-    log.appends = MemoryLog.Behavior.SILENT;
+    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
     timers.advance(5_000);
     int calls = log.appendCalls;
@@ -298,7 +298,7 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    log.appends = MemoryLog.Behavior.SILENT;
+    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(service.end("", "j", 800));
     timers.advance(500);
     assertThat(outcomes, hasSize(0));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -99,7 +99,7 @@
 
   @Test
   void noResultIsRecordedBeforeItsText() {
-    log.appends = MemoryLog.Behavior.SILENT;
+    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
     write(0, "one");
     timers.advance(5_000);
     assertThat(job().results(), hasSize(0));
@@ -123,7 +123,7 @@
   @Test
   void lostBatchesAreRetriedInSmallerSizes() {
     String large = "x".repeat(50_000);
-    log.appends = MemoryLog.Behavior.SILENT;
+    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
     for (int i = 0; i < ITEMS; i++) {
       write(i, large);
     }
