--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -26,7 +26,7 @@
   private final Map<String, Long> firstKept = new HashMap<>();
 
   /** Manner of appends. */
-  public Behavior appends = Behavior.NORMAL;
+  public Behavior appendBehavior = Behavior.NORMAL;
 
   /** Manner of reads. */
   public Behavior reads = Behavior.NORMAL;
@@ -61,10 +61,10 @@
   public Uni<Long> append(String stream, List<byte[]> records) {
     appendCalls++;
     long offset = stream(stream).size();
-    if (appends == Behavior.NORMAL || appends == Behavior.LOSES_RESPONSES) {
+    if (appendBehavior == Behavior.NORMAL || appendBehavior == Behavior.LOSES_RESPONSES) {
       stream(stream).addAll(records);
     }
-    return switch (appends) {
+    return switch (appendBehavior) {
       case NORMAL -> Uni.createFrom().item(offset);
       case REJECTS_CALLS -> Uni.createFrom().failure(refused());
       case LOSES_RESPONSES, NEVER_RESPONDS -> lost();
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -144,10 +144,10 @@
 
   @Test
   void aFailedSaveOfATextIsRetried() {
-    log.appends = MemoryLog.Behavior.REJECTS_CALLS;
+    log.appendBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     timers.advance(300);
     assertThat(isTextSaved(), is(false));
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(300);
     assertThat(textRecords().get(0).parts().get(0).events(), contains("one"));
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -93,7 +93,7 @@
   @Test
   void aLostAppendAnswerIsRecoveredByReadingTheJobBack() {
     startLog();
-    log.appends = MemoryLog.Behavior.LOSES_RESPONSES;
+    log.appendBehavior = MemoryLog.Behavior.LOSES_RESPONSES;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
     assertThat(outcomes, contains(new JobOutcome.Done()));
@@ -102,7 +102,7 @@
   @Test
   void aSubmissionIsRefusedOnlyIfNoAppendCanHaveSucceeded() {
     startLog();
-    log.appends = MemoryLog.Behavior.REJECTS_CALLS;
+    log.appendBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 1_000));
     timers.advance(1_100);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Refused.class));
@@ -112,7 +112,7 @@
   @Test
   void anAppendInFlightIsNeverReportedAsRefused() {
     startLog();
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(service.submit(submission("j", new byte[3]), 500));
     timers.advance(600);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
@@ -141,11 +141,11 @@
     JobService smallService = new JobService(small, smallLog);
     smallLog.start(new HeartbeatTable(1_500));
     timers.advance(10);
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(smallService.submit(submission("j", new byte[50_000]), 10_000));
     timers.advance(5_000);
     int calls = log.appendCalls;
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(outcomes, contains(new JobOutcome.Done()));
     assertThat(log.appendCalls - calls, greaterThan(8));
@@ -298,13 +298,13 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     List<JobOutcome> outcomes = ask(service.end("", "j", 800));
     timers.advance(500);
     assertThat(outcomes, hasSize(0));
     timers.advance(400);
     assertThat(outcomes.get(0), instanceOf(JobOutcome.Unknown.class));
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     assertThat(ask(service.end("", "j", 800)), contains(new JobOutcome.Done()));
     timers.advance(100);
     assertThat(jobLog.table().get("j").isEnded(), is(true));
--- a/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/MembershipAgentTest.java
@@ -78,7 +78,7 @@
   @Test
   void theFleetIsNotLostWhileThisNodesOwnHeartbeatIsDelayed() {
     timers.advance(10);
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     timers.advance(590);
     MemberBeat heartbeat = new MemberBeat("old1", "o:1", "z", 1, true, 0, 500, 0, 0);
     log.stream(STREAM).add(Codec.encode(heartbeat));
@@ -114,7 +114,7 @@
   @Test
   void livenessIsNoLongerUnknownAfterATimeoutIfTheLogStopsAnswering() {
     timers.advance(10);
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     timers.advance(1_080);
     assertThat(agent.isLivenessUnknown(), is(true));
     timers.advance(20);
@@ -171,7 +171,7 @@
   @Test
   void noHeartbeatIsSentWhileOneIsInFlight() {
     passStartup();
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     isDependedOn = true;
     int before = log.appendCalls;
     timers.advance(900);
@@ -192,7 +192,7 @@
   @Test
   void afterASuspensionTheLogIsNotReachableWhileAppendsHang() {
     passStartup();
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     timers.suspend(5_000);
     timers.advance(1_000);
     assertThat(agent.isLogReachable(), is(false));
--- a/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultWriterTest.java
@@ -99,21 +99,21 @@
 
   @Test
   void noResultIsRecordedBeforeItsText() {
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     write(0, "one");
     timers.advance(5_000);
     assertThat(job().results(), hasSize(0));
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(texts(), contains(equalTo(List.of("one"))));
   }
 
   @Test
   void anAppendWithALostAnswerIsRepeatedAndTheFirstResultCounts() {
-    log.appends = MemoryLog.Behavior.LOSES_RESPONSES;
+    log.appendBehavior = MemoryLog.Behavior.LOSES_RESPONSES;
     write(0, "one");
     timers.advance(3_000);
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(2_000);
     assertThat(job().results(), hasSize(1));
     assertThat(texts(), contains(equalTo(List.of("one"))));
@@ -123,13 +123,13 @@
   @Test
   void lostBatchesAreRetriedInSmallerSizes() {
     String large = "x".repeat(50_000);
-    log.appends = MemoryLog.Behavior.NEVER_RESPONDS;
+    log.appendBehavior = MemoryLog.Behavior.NEVER_RESPONDS;
     for (int i = 0; i < ITEMS; i++) {
       write(i, large);
     }
     timers.advance(6_000);
     int calls = log.appendCalls;
-    log.appends = MemoryLog.Behavior.NORMAL;
+    log.appendBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(3_000);
     assertThat(job().results(), hasSize(ITEMS));
     // Full batches would need two appends; after five losses the first batch is limited to 64 KB.
