--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -29,7 +29,7 @@
   public Behavior appendBehavior = Behavior.NORMAL;
 
   /** Manner of reads. */
-  public Behavior reads = Behavior.NORMAL;
+  public Behavior readBehavior = Behavior.NORMAL;
 
   /** Whether reads that begin now give no answer, ever. */
   public boolean hangReads;
@@ -84,7 +84,7 @@
     if (hangReads) {
       return Uni.createFrom().nothing();
     }
-    if (reads != Behavior.NORMAL) {
+    if (readBehavior != Behavior.NORMAL) {
       return Uni.createFrom().failure(refused());
     }
     return Uni.createFrom()
--- a/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
@@ -65,11 +65,11 @@
   void anOutageIsWaitedOut() {
     tail.start(0);
     timers.advance(10);
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     timers.advance(5_000);
     add("a");
     timers.advance(1_000);
-    log.reads = MemoryLog.Behavior.NORMAL;
+    log.readBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(500);
     assertThat(seen, contains("a"));
   }
@@ -212,7 +212,7 @@
   void aRefreshDuringAnOutageIsNotSure() {
     tail.start(0);
     timers.advance(10);
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     List<Boolean> sure = new ArrayList<>();
     tail.refresh().subscribe().with(sure::add);
     assertThat(sure, equalTo(List.of(false)));
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -236,13 +236,13 @@
     startLog();
     ask(service.submit(submission("j", new byte[3]), 2_000));
     timers.advance(100);
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
-    log.reads = MemoryLog.Behavior.NORMAL;
+    log.readBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(1_000);
     appendResult("x");
     timers.advance(1_000);
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     assertThat(ask(service.read("", "j", 0, 0)).get(0), instanceOf(JobOutcome.Results.class));
   }
 
@@ -250,7 +250,7 @@
   void anUnknownJobIsNotFoundOnlyIfTheLogWasReadToItsEnd() {
     startLog();
     assertThat(ask(service.read("", "k", 0, 0)), contains(new JobOutcome.NotFound()));
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     assertThat(ask(service.read("", "k", 0, 0)).get(0), instanceOf(JobOutcome.Refused.class));
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -106,7 +106,7 @@
     List<ItemFinished> wanted = appendResult(5);
     read(wanted);
     int reads = countingLog.reads;
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     assertThat(read(wanted).get(0), hasSize(5));
     assertThat(countingLog.reads, equalTo(reads));
   }
@@ -115,7 +115,7 @@
   void cachedTextsAreReturnedWhenTheOthersCannotBeRead() {
     List<ItemFinished> wanted = appendResult(5);
     read(wanted.subList(0, 2));
-    log.reads = MemoryLog.Behavior.REJECTS_CALLS;
+    log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     List<ItemFinished> more = new ArrayList<>(wanted);
     more.add(appendResult("y", "new"));
     assertThat(read(more).get(0).size(), equalTo(5));
