--- a/node/src/test/java/org/passhaven/node/ManualTimers.java
+++ b/node/src/test/java/org/passhaven/node/ManualTimers.java
@@ -37,7 +37,7 @@
   }
 
   /** Timers that are set. */
-  public int pending() {
+  public int pendingTaskCount() {
     return tasks.size();
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/RequestForwarderTest.java
@@ -283,11 +283,11 @@
 
   @Test
   void aFinishedRequestLeavesNoTimer() {
-    int before = timers.pending();
+    int before = timers.pendingTaskCount();
     submit("/p");
-    assertThat(timers.pending(), greaterThan(before));
+    assertThat(timers.pendingTaskCount(), greaterThan(before));
     last().succeed();
-    assertThat(timers.pending(), equalTo(before));
+    assertThat(timers.pendingTaskCount(), equalTo(before));
   }
 
   @Test
