--- a/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerEntry.java
@@ -32,9 +32,9 @@
    * Returns this entry with each version raised to at least the given one; versions never decrease
    * within one incarnation.
    */
-  public ServerEntry withMinVersions(Map<String, Long> minVersions) {
+  public ServerEntry withMinVersions(Map<String, Long> lowerBounds) {
     Map<String, Long> merged = new HashMap<>(versions);
-    minVersions.forEach((model, version) -> merged.merge(model, version, Math::max));
+    lowerBounds.forEach((model, version) -> merged.merge(model, version, Math::max));
     return new ServerEntry(incarnation, service, address, zone, slots, ready, merged);
   }
 
