--- a/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
@@ -13,119 +13,119 @@
 import org.passhaven.spi.Timers;
 
 /**
- * A node's reads of history, over all streams: in pieces, and as many at a time as the way to the
- * log carries ({@link ReadConcurrencyLimiter}). After the loss of all nodes each one reads, and
- * together they share what the log gives; reads that are given up have used their part of it all
- * the same. Each stream has one read under way, whose records are all kept. Used on the node's
- * thread.
+ * Queue of a node's history reads over all streams. Reads in chunks and limits the number of reads
+ * in flight to what the connection to the log sustains ({@link ReadConcurrencyLimiter}), so that
+ * nodes that start at the same time don't overload the log with reads that time out. Each stream
+ * has at most one read in flight. Used on the node's thread.
  */
 public final class HistoryReadQueue {
-  /**
-   * A second's worth of a 2 Mbit/s link, and more than one submission: a lost piece costs little.
-   */
-  private static final int PIECE_BYTES = 262_144;
+  /** Takes about one second on a 2 Mbit/s link. */
+  private static final int CHUNK_BYTES = 262_144;
 
   private final LogService log;
   private final Timers timers;
   private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
-  private final Deque<Read> waiting = new ArrayDeque<>();
-  private int underWay;
+  private final Deque<QueuedRead> waiting = new ArrayDeque<>();
+  private int inFlight;
 
-  /** Creates the reads of one node. */
+  /** Creates an empty queue for one node. */
   public HistoryReadQueue(LogService log, Timers timers) {
     this.log = Objects.requireNonNull(log, "log");
     this.timers = Objects.requireNonNull(timers, "timers");
   }
 
-  /** Reads a piece from an offset on when its turn comes; fails with {@link PlatformException}. */
+  /**
+   * Reads a chunk that starts at an offset once all reads queued before have started; fails with
+   * {@link PlatformException}.
+   */
   public Uni<Batch> read(String stream, long from) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
-              waiting.addLast(new Read(stream, from, emitter));
-              beginReads();
+              waiting.addLast(new QueuedRead(stream, from, emitter));
+              startReads();
             });
   }
 
-  /** Reads a piece before all others that wait: somebody's work stands still until it is read. */
+  /** Reads a chunk before all queued reads, for callers that are blocked until it is read. */
   public Uni<Batch> readWithPriority(String stream, long from) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
-              waiting.addFirst(new Read(stream, from, emitter));
-              beginReads();
+              waiting.addFirst(new QueuedRead(stream, from, emitter));
+              startReads();
             });
   }
 
-  private void beginReads() {
-    while (underWay < window.maxConcurrentReads() && !waiting.isEmpty()) {
-      waiting.pollFirst().begin();
+  private void startReads() {
+    while (inFlight < window.maxConcurrentReads() && !waiting.isEmpty()) {
+      waiting.pollFirst().start();
     }
   }
 
-  private final class Read {
+  private final class QueuedRead {
     private final String stream;
     private final long from;
     private final UniEmitter<? super Batch> emitter;
-    private Cancellable running;
-    private boolean begun;
-    private boolean over;
+    private Cancellable subscription;
+    private boolean started;
+    private boolean ended;
 
-    Read(String stream, long from, UniEmitter<? super Batch> emitter) {
+    QueuedRead(String stream, long from, UniEmitter<? super Batch> emitter) {
       this.stream = stream;
       this.from = from;
       this.emitter = emitter;
-      emitter.onTermination(this::abandon);
+      emitter.onTermination(this::cancel);
     }
 
-    void begin() {
-      begun = true;
-      underWay++;
-      long begunAtMillis = timers.nowMillis();
-      running =
-          log.readHistory(stream, from, PIECE_BYTES)
+    void start() {
+      started = true;
+      inFlight++;
+      long startMillis = timers.nowMillis();
+      subscription =
+          log.readHistory(stream, from, CHUNK_BYTES)
               .subscribe()
               .with(
-                  batch -> onBatch(batch, begunAtMillis),
-                  failure -> onLost(failure, begunAtMillis));
+                  batch -> onBatch(batch, startMillis), failure -> onFailure(failure, startMillis));
     }
 
-    private void onBatch(Batch batch, long begunAtMillis) {
-      if (end()) {
-        window.onReadCompleted(timers.nowMillis() - begunAtMillis);
+    private void onBatch(Batch batch, long startMillis) {
+      if (markEnded()) {
+        window.onReadCompleted(timers.nowMillis() - startMillis);
         emitter.complete(batch);
-        beginReads();
+        startReads();
       }
     }
 
-    private void onLost(Throwable failure, long begunAtMillis) {
-      if (end()) {
+    private void onFailure(Throwable failure, long startMillis) {
+      if (markEnded()) {
         if (PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN) {
-          window.onReadLost(begunAtMillis, timers.nowMillis());
+          window.onReadLost(startMillis, timers.nowMillis());
         }
         emitter.fail(failure);
-        beginReads();
+        startReads();
       }
     }
 
-    /** Nobody waits for it any more. */
-    private void abandon() {
-      if (!begun) {
+    /** Removes the read from the queue, or cancels it at the log if it has started. */
+    private void cancel() {
+      if (!started) {
         waiting.remove(this);
-      } else if (end()) {
-        if (running != null) {
-          running.cancel();
+      } else if (markEnded()) {
+        if (subscription != null) {
+          subscription.cancel();
         }
-        beginReads();
+        startReads();
       }
     }
 
-    private boolean end() {
-      if (over) {
+    /** Returns false if the read has already ended. */
+    private boolean markEnded() {
+      if (ended) {
         return false;
       }
-      over = true;
-      underWay--;
+      ended = true;
+      inFlight--;
       return true;
     }
   }
--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -10,27 +10,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads one stream from an offset on, for good. Each record is given once and in order. After a
- * failure it tries again; records that are no longer kept are passed over. Used on the node's
- * thread.
+ * Reads one stream continuously from an offset and delivers each record once and in order. Retries
+ * failed reads and skips records that have been truncated. Used on the node's thread.
  */
 public final class LogTail {
   private static final Logger LOG = LoggerFactory.getLogger(LogTail.class);
-  private static final int MOST_RECORDS = 2_000;
-  private static final long WAIT_MILLIS = 2_200;
+  private static final int MAX_RECORDS_PER_READ = 2_000;
+  private static final long READ_WAIT_MILLIS = 2_200;
 
-  /** Takes what is read. */
+  /** Receives the records of a stream. */
   public interface Listener {
-    /** A record was read. */
+    /** Called with each record. */
     void onRecord(byte[] record);
 
-    /** Records that were not given are no longer kept; the next one is that of an offset. */
+    /** Called when undelivered records have been truncated; the next record has this offset. */
     default void onGap(long nextOffset) {}
 
-    /** All records of one read were given. */
+    /** Called after all records of one read were delivered. */
     default void onBatchEnd() {}
 
-    /** The end of the stream was reached for the first time; called once, after its records. */
+    /** Called once, when the end of the stream is first reached, after its records. */
     default void onCaughtUp() {}
   }
 
@@ -38,108 +37,111 @@
   private final Timers timers;
   private final HistoryReadQueue history;
   private final String stream;
-  private final LongSupplier betweenMillis;
+  private final LongSupplier pauseMillis;
   private final Listener listener;
-  private final SharedRefresh refresh = new SharedRefresh(this::readNow);
-  private final CurrentRead current = new CurrentRead();
+  private final CoalescedRefresh refresh = new CoalescedRefresh(this::readAvailable);
+  private final LatestRead latestRead = new LatestRead();
   private final ReadPause pause;
-  private long next;
+  private long nextOffset;
   private boolean caughtUp;
   private boolean closed;
-  private long startedAtMillis;
-  private long answeredAtMillis = Long.MIN_VALUE;
-  private long records;
-  private long bytes;
-  private long failedReads;
-  private final Outage outage;
-
-  /** Creates a tail of a stream whose history is short. */
+  private long startMillis;
+  private long lastReadMillis = Long.MIN_VALUE;
+  private long recordCount;
+  private long byteCount;
+  private long failedReadCount;
+  private final OutageTracker outage;
+
+  /** Creates a tail with a history queue of its own, for streams with a short history. */
   public LogTail(
-      LogService log, Timers timers, String stream, LongSupplier betweenMillis, Listener listener) {
-    this(log, timers, new HistoryReadQueue(log, timers), stream, betweenMillis, listener);
+      LogService log, Timers timers, String stream, LongSupplier pauseMillis, Listener listener) {
+    this(log, timers, new HistoryReadQueue(log, timers), stream, pauseMillis, listener);
   }
 
   /**
-   * Creates a tail; {@link #start} begins to read.
+   * Creates a tail; {@link #start} starts reading.
    *
-   * @param history reads of the node's history, shared by all its tails
-   * @param betweenMillis pause after records, so that a busy stream is read in batches; asked each
-   *     time
+   * @param history the node's queue of history reads, shared by its tails
+   * @param pauseMillis pause after a read that returned records, so that a busy stream is read in
+   *     batches; queried before each pause
    */
   public LogTail(
       LogService log,
       Timers timers,
       HistoryReadQueue history,
       String stream,
-      LongSupplier betweenMillis,
+      LongSupplier pauseMillis,
       Listener listener) {
     this.log = Objects.requireNonNull(log, "log");
     this.timers = Objects.requireNonNull(timers, "timers");
     this.history = Objects.requireNonNull(history, "history");
     this.stream = Objects.requireNonNull(stream, "stream");
-    this.betweenMillis = Objects.requireNonNull(betweenMillis, "betweenMillis");
+    this.pauseMillis = Objects.requireNonNull(pauseMillis, "pauseMillis");
     this.listener = Objects.requireNonNull(listener, "listener");
-    this.outage = new Outage(LOG, "log", stream);
-    this.pause = new ReadPause(timers, this::readOn);
+    this.outage = new OutageTracker(LOG, "log", stream);
+    this.pause = new ReadPause(timers, this::readNext);
   }
 
-  /** Begins to read at an offset. */
+  /** Starts reading at an offset. */
   public void start(long offset) {
-    next = offset;
-    startedAtMillis = timers.nowMillis();
-    readOn();
+    nextOffset = offset;
+    startMillis = timers.nowMillis();
+    readNext();
   }
 
-  /** Whether the end of the stream was reached once. */
+  /** Returns whether the end of the stream has been reached at least once. */
   public boolean isCaughtUp() {
     return caughtUp;
   }
 
-  /** Offset behind the last record that was given. */
+  /** Returns the offset after the last delivered record. */
   public long nextOffset() {
-    return next;
+    return nextOffset;
   }
 
-  /** The stream's name. */
+  /** Returns the name of the stream. */
   public String stream() {
     return stream;
   }
 
-  /** How long ago the log last answered a read of this stream; empty if it never did. */
+  /** Returns the time since the last successful read of this stream; empty if there was none. */
   public OptionalLong millisSinceLastRead() {
-    return answeredAtMillis == Long.MIN_VALUE
+    return lastReadMillis == Long.MIN_VALUE
         ? OptionalLong.empty()
-        : OptionalLong.of(timers.nowMillis() - answeredAtMillis);
+        : OptionalLong.of(timers.nowMillis() - lastReadMillis);
   }
 
-  /** Reads no more. */
+  /** Stops reading. */
   public void close() {
     closed = true;
   }
 
-  private void readOn() {
+  private void readNext() {
     if (closed) {
       return;
     }
     Uni<LogService.Batch> read =
-        caughtUp ? log.read(stream, next, MOST_RECORDS, waitMillis()) : history.read(stream, next);
-    current.begin(read, this::onBatch, this::onFailure);
+        caughtUp
+            ? log.read(stream, nextOffset, MAX_RECORDS_PER_READ, waitMillis())
+            : history.read(stream, nextOffset);
+    latestRead.start(read, this::onBatch, this::onFailure);
   }
 
   /**
-   * What is sent to a log that is silent is not answered, also when the log is back. A read that
-   * doesn't wait is given up sooner, and another one tells of the log's return.
+   * Returns zero during an outage: a read sent to an unresponsive log stays unanswered after the
+   * log recovers, and a read that does not wait times out sooner, so the recovery is noticed
+   * sooner.
    */
   private long waitMillis() {
-    return outage.isDown() ? 0 : WAIT_MILLIS;
+    return outage.isDown() ? 0 : READ_WAIT_MILLIS;
   }
 
-  /** The read that waits may never be answered: another one takes its place. */
+  /** Ends the pause, or replaces a pending read that may never be answered. */
   public void restartReads() {
     if (pause.isRunning()) {
       endReadPause();
-    } else if (current.isUnderWay() && caughtUp) {
-      readOn();
+    } else if (latestRead.isInFlight() && caughtUp) {
+      readNext();
     }
   }
 
@@ -147,69 +149,69 @@
     if (closed) {
       return;
     }
-    outage.onSuccess(next);
-    boolean some = deliver(batch);
-    pause.begin(some && caughtUp ? betweenMillis.getAsLong() : 0);
+    outage.onSuccess(nextOffset);
+    boolean hasNewRecords = deliver(batch);
+    pause.start(hasNewRecords && caughtUp ? pauseMillis.getAsLong() : 0);
   }
 
-  /** Somebody waits for news of the stream: a pause between reads ends now. */
+  /** Ends a pause between reads now; has no effect if there is none. */
   public void endReadPause() {
-    pause.cutShort();
+    pause.endNow();
   }
 
-  /** Gives what was not given before; true if there was something. */
+  /** Delivers the records not delivered before; returns whether there were any. */
   private boolean deliver(LogService.Batch batch) {
-    answeredAtMillis = timers.nowMillis();
-    if (batch.firstOffset() > next) {
+    lastReadMillis = timers.nowMillis();
+    if (batch.firstOffset() > nextOffset) {
       LOG.atWarn()
           .addKeyValue("stream", stream)
-          .addKeyValue("wanted", next)
+          .addKeyValue("wanted", nextOffset)
           .addKeyValue("first", batch.firstOffset())
           .log("log: records are gone");
-      next = batch.firstOffset();
-      listener.onGap(next);
+      nextOffset = batch.firstOffset();
+      listener.onGap(nextOffset);
     }
     long offset = batch.firstOffset();
-    boolean some = false;
+    boolean hasNewRecords = false;
     for (byte[] record : batch.records()) {
-      if (offset == next) {
-        next++;
-        some = true;
-        records++;
-        bytes += record.length;
-        give(record);
+      if (offset == nextOffset) {
+        nextOffset++;
+        hasNewRecords = true;
+        recordCount++;
+        byteCount += record.length;
+        deliverRecord(record);
       }
       offset++;
     }
-    boolean isFirstEnd = !caughtUp && next >= batch.endOffset();
-    if (isFirstEnd) {
+    boolean hasJustCaughtUp = !caughtUp && nextOffset >= batch.endOffset();
+    if (hasJustCaughtUp) {
       caughtUp = true;
       LOG.atInfo()
           .addKeyValue("stream", stream)
-          .addKeyValue("next", next)
-          .addKeyValue("records", records)
-          .addKeyValue("bytes", bytes)
-          .addKeyValue("failedReads", failedReads)
-          .addKeyValue("tookMillis", timers.nowMillis() - startedAtMillis)
+          .addKeyValue("next", nextOffset)
+          .addKeyValue("records", recordCount)
+          .addKeyValue("bytes", byteCount)
+          .addKeyValue("failedReads", failedReadCount)
+          .addKeyValue("tookMillis", timers.nowMillis() - startMillis)
           .log("log: caught up");
     }
-    if (some) {
+    if (hasNewRecords) {
       listener.onBatchEnd();
     }
-    if (isFirstEnd) {
+    if (hasJustCaughtUp) {
       listener.onCaughtUp();
     }
-    return some;
+    return hasNewRecords;
   }
 
-  /** A record that its listener can't take must not end the reading of all that follow. */
-  private void give(byte[] record) {
+  /** Logs exceptions of the listener, so that later records are still read. */
+  private void deliverRecord(byte[] record) {
     try {
       listener.onRecord(record);
     } catch (RuntimeException e) {
       LOG.atError()
           .addKeyValue("stream", stream)
-          .addKeyValue("offset", next - 1)
+          .addKeyValue("offset", nextOffset - 1)
           .setCause(e)
           .log("log: a record was not taken");
     }
@@ -219,27 +221,27 @@
     if (closed) {
       return;
     }
-    failedReads++;
-    timers.after(outage.onFailure(failure, next), this::readOn);
+    failedReadCount++;
+    timers.after(outage.onFailure(failure, nextOffset), this::readNext);
   }
 
   /**
-   * Reads what is there now, beside the waiting read. Gives true once all records that were
-   * appended before the call have been given, false if the stream could not be read.
+   * Reads without waiting, in addition to a pending read. Returns true once all records appended
+   * before the call have been delivered, false if the stream could not be read.
    */
   public Uni<Boolean> refresh() {
     if (!caughtUp) {
       return Uni.createFrom().item(false);
     }
-    return refresh.ask();
+    return refresh.request();
   }
 
-  private Uni<Boolean> readNow() {
-    return log.read(stream, next, MOST_RECORDS, 0)
+  private Uni<Boolean> readAvailable() {
+    return log.read(stream, nextOffset, MAX_RECORDS_PER_READ, 0)
         .map(
             batch -> {
               deliver(batch);
-              return next >= batch.endOffset();
+              return nextOffset >= batch.endOffset();
             });
   }
 }
--- a/node/src/main/java/org/passhaven/node/follow/ReadPause.java
+++ b/node/src/main/java/org/passhaven/node/follow/ReadPause.java
@@ -3,46 +3,46 @@
 import java.util.Objects;
 import org.passhaven.spi.Timers;
 
-/** The pause between two reads, which ends early when somebody waits for news. Not thread-safe. */
+/** Pause between two reads that can be ended early. Not thread-safe. */
 final class ReadPause {
   private final Timers timers;
-  private final Runnable then;
-  private Timers.Timer running;
+  private final Runnable onEnd;
+  private Timers.Timer timer;
 
   /**
-   * Creates a pause that has not begun.
+   * Creates a pause that has not started.
    *
-   * @param then begins the next read
+   * @param onEnd starts the next read
    */
-  ReadPause(Timers timers, Runnable then) {
+  ReadPause(Timers timers, Runnable onEnd) {
     this.timers = Objects.requireNonNull(timers, "timers");
-    this.then = Objects.requireNonNull(then, "then");
+    this.onEnd = Objects.requireNonNull(onEnd, "onEnd");
   }
 
-  /** Whether the pause has begun and not ended. */
+  /** Returns whether the pause has started and not ended. */
   boolean isRunning() {
-    return running != null;
+    return timer != null;
   }
 
-  /** Pauses, or reads on at once if the time is zero. */
-  void begin(long millis) {
+  /** Starts the pause, or the next read if the duration is zero. */
+  void start(long millis) {
     if (millis > 0) {
-      running = timers.after(millis, this::end);
+      timer = timers.after(millis, this::end);
     } else {
-      then.run();
+      onEnd.run();
     }
   }
 
-  /** Ends the pause now; does nothing if there is none. */
-  void cutShort() {
-    if (running != null) {
-      running.cancel();
+  /** Ends the pause now; has no effect if there is none. */
+  void endNow() {
+    if (timer != null) {
+      timer.cancel();
       end();
     }
   }
 
   private void end() {
-    running = null;
-    then.run();
+    timer = null;
+    onEnd.run();
   }
 }
--- a/node/src/main/java/org/passhaven/node/follow/TableFollower.java
+++ b/node/src/main/java/org/passhaven/node/follow/TableFollower.java
@@ -13,44 +13,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps up with a table: lists it, then follows its changes; lists it anew when changes were
- * missed. Used on the node's thread.
+ * Follows a table: lists it, then reads its changes continuously, and lists it again if changes
+ * were missed. Used on the node's thread.
  */
 public final class TableFollower {
   private static final Logger LOG = LoggerFactory.getLogger(TableFollower.class);
 
-  /** Leaves the longest wait to the store. */
-  private static final Duration NO_HURRY = Duration.ofDays(1);
+  /** Delay limit of a follower that always uses the longest wait. */
+  private static final Duration NO_DELAY_LIMIT = Duration.ofDays(1);
 
-  /** The longest time for which the store waits for news before it answers that there is none. */
+  /** Longest time for which the store holds a read open before it answers without changes. */
   private static final long MAX_WAIT_MILLIS = 2_200;
 
-  /** A store is not asked more often, however soon news must come. */
+  /** Lower bound of the wait, which limits the load on the store. */
   private static final long MIN_WAIT_MILLIS = 100;
 
-  /**
-   * Time after the wait within which an answer comes, also one of a slow store or of a connection
-   * that is found silent.
-   */
-  private static final long OVERDUE_MILLIS = 400;
+  /** Time after the wait within which even a slow store responds. */
+  private static final long RESPONSE_MARGIN_MILLIS = 400;
 
-  /** What the read takes that is begun in place of an overdue one, also where the store is slow. */
-  private static final long REPLACEMENT_MILLIS = 200;
+  /** Duration of the read that replaces an overdue one, with a slow store. */
+  private static final long REPLACEMENT_READ_MILLIS = 200;
 
   /**
-   * A refresh that was begun while the store was silent must not hold up those after it. Above the
-   * 250 ms of a slow store.
+   * Keeps a refresh that the store does not answer from delaying later ones; exceeds the 250 ms
+   * that a slow store takes.
    */
-  private static final long REFRESH_LIMIT_MILLIS = 300;
+  private static final long REFRESH_TIMEOUT_MILLIS = 300;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Takes documents. */
+  /** Receives the documents of a table. */
   public interface Listener {
-    /** A document is new or changed; {@code value} is null if it was removed. */
+    /** Called when a document was added or changed; {@code value} is null if it was removed. */
     void onDocument(String key, byte[] value);
 
-    /** The table was listed whole: no other keys exist. */
+    /** Called when the table was listed completely, with all existing keys. */
     void onListed(Set<String> keys);
   }
 
@@ -58,73 +55,75 @@
   private final Timers timers;
   private final String table;
   private final long waitMillis;
-  private final LongSupplier betweenMillis;
+  private final LongSupplier pauseMillis;
   private final Listener listener;
   private final Set<String> listedKeys = new HashSet<>();
-  private long firstEnd;
+  private long firstPageEnd;
   private long position;
   private boolean listed;
   private boolean isListing;
-  private final Outage outage;
-  private final SharedRefresh refresh = new SharedRefresh(this::readNow);
-  private final CurrentRead current = new CurrentRead();
+  private final OutageTracker outage;
+  private final CoalescedRefresh refresh = new CoalescedRefresh(this::readAvailable);
+  private final LatestRead latestRead = new LatestRead();
   private final ReadPause pause;
-  private Timers.Timer overdue = () -> {};
-  private long answeredAtMillis = NEVER;
+  private Timers.Timer overdueTimer = () -> {};
+  private long lastReadMillis = NEVER;
 
-  /** Creates a follower of a table whose news may come late when an answer is lost. */
+  /** Creates a follower without a limit on the delay of changes. */
   public TableFollower(
       TableService tables,
       Timers timers,
       String table,
-      LongSupplier betweenMillis,
+      LongSupplier pauseMillis,
       Listener listener) {
-    this(tables, timers, table, NO_HURRY, betweenMillis, listener);
+    this(tables, timers, table, NO_DELAY_LIMIT, pauseMillis, listener);
   }
 
   /**
-   * Creates a follower; {@link #start} begins.
+   * Creates a follower; {@link #start} starts reading.
    *
-   * @param inTime time within which news must be known here, also if one answer is lost
-   * @param betweenMillis pause after changes, so that a busy table is read in batches; asked each
-   *     time
+   * @param maxDelay time within which changes must be delivered, even if one response is lost
+   * @param pauseMillis pause after a read that returned changes, so that a busy table is read in
+   *     batches; queried before each pause
    */
   public TableFollower(
       TableService tables,
       Timers timers,
       String table,
-      Duration inTime,
-      LongSupplier betweenMillis,
+      Duration maxDelay,
+      LongSupplier pauseMillis,
       Listener listener) {
     this.waitMillis =
         Math.max(
             MIN_WAIT_MILLIS,
-            Math.min(MAX_WAIT_MILLIS, inTime.toMillis() - OVERDUE_MILLIS - REPLACEMENT_MILLIS));
+            Math.min(
+                MAX_WAIT_MILLIS,
+                maxDelay.toMillis() - RESPONSE_MARGIN_MILLIS - REPLACEMENT_READ_MILLIS));
     this.tables = Objects.requireNonNull(tables, "tables");
     this.timers = Objects.requireNonNull(timers, "timers");
     this.table = Objects.requireNonNull(table, "table");
-    this.betweenMillis = Objects.requireNonNull(betweenMillis, "betweenMillis");
+    this.pauseMillis = Objects.requireNonNull(pauseMillis, "pauseMillis");
     this.listener = Objects.requireNonNull(listener, "listener");
-    this.outage = new Outage(LOG, "table", table);
-    this.pause = new ReadPause(timers, this::await);
+    this.outage = new OutageTracker(LOG, "table", table);
+    this.pause = new ReadPause(timers, this::awaitChanges);
   }
 
-  /** Begins to follow. */
+  /** Starts reading. */
   public void start() {
-    listAnew();
+    restartListing();
   }
 
-  /** Whether the table was listed whole once. */
+  /** Returns whether the table has been listed completely at least once. */
   public boolean isListed() {
     return listed;
   }
 
-  /** Whether the documents that are given now come from a listing, not from changes. */
+  /** Returns whether documents are being delivered from a listing rather than from changes. */
   public boolean isListing() {
     return isListing;
   }
 
-  private void listAnew() {
+  private void restartListing() {
     isListing = true;
     listedKeys.clear();
     listAfter("");
@@ -134,38 +133,43 @@
     tables
         .list(table, key)
         .subscribe()
-        .with(page -> onPage(page, key.isEmpty()), failure -> onFailure(failure, this::listAnew));
+        .with(
+            page -> onPage(page, key.isEmpty()),
+            failure -> onFailure(failure, this::restartListing));
   }
 
-  /** Whether the table was read to its end within a time, as far as this node's clock tells. */
+  /**
+   * Returns whether the table was read to its end within the last {@code millis}, by the local
+   * clock.
+   */
   public boolean wasReadWithin(long millis) {
-    return listed && timers.nowMillis() - answeredAtMillis <= millis;
+    return listed && timers.nowMillis() - lastReadMillis <= millis;
   }
 
   /**
-   * How long ago the table was last read to its end, as far as this node's clock tells; empty if it
-   * never was, or not since a suspension.
+   * Returns the time since the table was last read to its end, by the local clock; empty if there
+   * was no such read since the start or the last restart of reads.
    */
   public OptionalLong millisSinceLastRead() {
-    return answeredAtMillis == NEVER
+    return lastReadMillis == NEVER
         ? OptionalLong.empty()
-        : OptionalLong.of(timers.nowMillis() - answeredAtMillis);
+        : OptionalLong.of(timers.nowMillis() - lastReadMillis);
   }
 
   private void onPage(TableService.Page page, boolean isFirst) {
     outage.onSuccess(position);
     if (isFirst) {
-      firstEnd = page.end();
+      firstPageEnd = page.end();
     }
-    page.entries().forEach(this::give);
+    page.entries().forEach(this::deliverEntry);
     page.entries().forEach(entry -> listedKeys.add(entry.key()));
     if (page.more() && !page.entries().isEmpty()) {
       listAfter(page.entries().get(page.entries().size() - 1).key());
       return;
     }
-    // Pages are no snapshot: changes that came in between are read again from the first page's end.
+    // Pages are not a consistent snapshot, so changes are read from the end of the first page on.
     listener.onListed(Set.copyOf(listedKeys));
-    position = firstEnd;
+    position = firstPageEnd;
     isListing = false;
     if (!listed) {
       LOG.atInfo()
@@ -174,112 +178,112 @@
           .log("table: listed");
     }
     listed = true;
-    answeredAtMillis = timers.nowMillis();
-    await();
+    lastReadMillis = timers.nowMillis();
+    awaitChanges();
   }
 
-  /** Waits for news. */
-  private void await() {
-    overdue.cancel();
-    overdue = timers.after(waitMillis + OVERDUE_MILLIS, this::onOverdue);
+  /** Starts a read that waits for changes. */
+  private void awaitChanges() {
+    overdueTimer.cancel();
+    overdueTimer = timers.after(waitMillis + RESPONSE_MARGIN_MILLIS, this::onOverdue);
     read(waitMillis);
   }
 
   /**
-   * Reads without waiting for news. What is sent to a store that is silent is not answered, also
-   * when the store is back: a read that doesn't wait is given up sooner, and another one tells of
-   * the store's return.
+   * Starts a read that does not wait for changes. A read sent to an unresponsive store stays
+   * unanswered after the store recovers; one that does not wait times out sooner, so the recovery
+   * is noticed sooner.
    */
-  private void readAtOnce() {
-    overdue.cancel();
+  private void readWithoutWaiting() {
+    overdueTimer.cancel();
     read(0);
   }
 
-  private void read(long forMillis) {
-    current.begin(
-        tables.changes(table, position, forMillis),
+  private void read(long maxWaitMillis) {
+    latestRead.start(
+        tables.changes(table, position, maxWaitMillis),
         this::onChanges,
-        failure -> onFailure(failure, this::readAtOnce));
+        failure -> onFailure(failure, this::readWithoutWaiting));
   }
 
   private void onOverdue() {
     LOG.atInfo()
         .addKeyValue("table", table)
         .addKeyValue("next", position)
-        .addKeyValue("silentMillis", timers.nowMillis() - answeredAtMillis)
+        .addKeyValue("silentMillis", timers.nowMillis() - lastReadMillis)
         .log("table: a read that waits for news is overdue, another one is begun");
-    readAtOnce();
+    readWithoutWaiting();
   }
 
-  /** The read that waits may never be answered: another one takes its place. */
+  /** Ends the pause, or replaces a pending read that may never be answered. */
   public void restartReads() {
-    answeredAtMillis = NEVER;
+    lastReadMillis = NEVER;
     if (pause.isRunning()) {
       endReadPause();
-    } else if (current.isUnderWay()) {
-      readAtOnce();
+    } else if (latestRead.isInFlight()) {
+      readWithoutWaiting();
     }
   }
 
   /**
-   * Reads what is there now, beside the waiting read. Gives true once all changes that were made
-   * before the call have been given, false if the table could not be read.
+   * Reads without waiting, in addition to a pending read. Returns true once all changes made before
+   * the call have been delivered, false if the table could not be read.
    */
   public Uni<Boolean> refresh() {
-    return listed && !isListing ? refresh.ask() : Uni.createFrom().item(false);
+    return listed && !isListing ? refresh.request() : Uni.createFrom().item(false);
   }
 
-  private Uni<Boolean> readNow() {
+  private Uni<Boolean> readAvailable() {
     long from = position;
     return timers
-        .withTimeout(tables.changes(table, from, 0), REFRESH_LIMIT_MILLIS, "table: refresh")
+        .withTimeout(tables.changes(table, from, 0), REFRESH_TIMEOUT_MILLIS, "table: refresh")
         .chain(changes -> onRefreshed(from, changes));
   }
 
-  /** One answer may not hold all changes: the last one has none. */
+  /** Reads on until a response contains no changes, as one response may not contain all. */
   private Uni<Boolean> onRefreshed(long from, TableService.Changes changes) {
     if (changes.truncated() || isListing) {
       return Uni.createFrom().item(false);
     }
     if (from == position) {
-      boolean isAll = changes.end() == from;
-      take(changes);
-      if (isAll) {
+      boolean hasNoMore = changes.end() == from;
+      applyChanges(changes);
+      if (hasNoMore) {
         return Uni.createFrom().item(true);
       }
-      if (current.isUnderWay()) {
-        // What waits would bring the same changes again, over newer ones.
-        readAtOnce();
+      if (latestRead.isInFlight()) {
+        // The pending read would deliver the same changes again and overwrite newer ones.
+        readWithoutWaiting();
       }
     }
-    return readNow();
+    return readAvailable();
   }
 
   private void onChanges(TableService.Changes changes) {
-    overdue.cancel();
+    overdueTimer.cancel();
     outage.onSuccess(position);
     if (changes.truncated()) {
       LOG.atWarn().addKeyValue("table", table).addKeyValue("at", position).log("table: gap");
-      listAnew();
+      restartListing();
       return;
     }
-    take(changes);
-    pause.begin(changes.entries().isEmpty() ? 0 : betweenMillis.getAsLong());
+    applyChanges(changes);
+    pause.start(changes.entries().isEmpty() ? 0 : pauseMillis.getAsLong());
   }
 
-  private void take(TableService.Changes changes) {
-    changes.entries().forEach(this::give);
+  private void applyChanges(TableService.Changes changes) {
+    changes.entries().forEach(this::deliverEntry);
     position = changes.end();
-    answeredAtMillis = timers.nowMillis();
+    lastReadMillis = timers.nowMillis();
   }
 
-  /** Somebody waits for news of the table: a pause between reads ends now. */
+  /** Ends a pause between reads now; has no effect if there is none. */
   public void endReadPause() {
-    pause.cutShort();
+    pause.endNow();
   }
 
-  /** A document that its listener can't take must not end the reading of all that follow. */
-  private void give(TableService.Entry entry) {
+  /** Logs exceptions of the listener, so that later documents are still read. */
+  private void deliverEntry(TableService.Entry entry) {
     try {
       listener.onDocument(entry.key(), entry.value());
     } catch (RuntimeException e) {
@@ -291,8 +295,8 @@
     }
   }
 
-  private void onFailure(Throwable failure, Runnable again) {
-    overdue.cancel();
-    timers.after(outage.onFailure(failure, position), again);
+  private void onFailure(Throwable failure, Runnable retry) {
+    overdueTimer.cancel();
+    timers.after(outage.onFailure(failure, position), retry);
   }
 }
--- a/node/src/main/java/org/passhaven/node/follow/package-info.java
+++ b/node/src/main/java/org/passhaven/node/follow/package-info.java
@@ -1,2 +1,2 @@
-/** Following streams and tables of the platform's store. */
+/** Continuous reading of streams and tables of the platform's store. */
 package org.passhaven.node.follow;
--- a/node/src/test/java/org/passhaven/node/follow/SharedHistoryTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/ConcurrentHistoryReadsTest.java
@@ -13,24 +13,25 @@
 import org.passhaven.spi.LogService;
 
 /**
- * Nodes that start anew read the history of all jobs: from a store whose readers share what it
- * gives a second, some of them over narrow links.
+ * Guards against slow start-up when many nodes read the history of all jobs at once from a store
+ * with limited bandwidth, some of them over narrow links.
  */
-class SharedHistoryTest {
+class ConcurrentHistoryReadsTest {
   private static final double STORE_BYTES_PER_MILLI = 80_000;
   private static final double WIDE_BYTES_PER_MILLI = 75_000;
   private static final double NARROW_BYTES_PER_MILLI = 7_500;
   private static final int NODES = 80;
   private static final int PARTITIONS = 3;
   private static final int RECORD_BYTES = 6_000;
-  private static final int RECORDS = 1_000;
-  private static final long HISTORY_BYTES = (long) PARTITIONS * RECORDS * RECORD_BYTES;
-  private static final double MARGIN = 1.5;
-  private static final long DRAIN_BOUND_MILLIS = 3_000;
-  private static final int LEAVING = 60;
-  private static final long BETWEEN_LEAVING_MILLIS = 400;
+  private static final int RECORDS_PER_PARTITION = 1_000;
+  private static final long HISTORY_BYTES =
+      (long) PARTITIONS * RECORDS_PER_PARTITION * RECORD_BYTES;
+  private static final double TIME_MARGIN_FACTOR = 1.5;
+  private static final long MAX_DELAY_MILLIS = 3_000;
+  private static final int LEAVING_SERVERS = 60;
+  private static final long LEAVE_INTERVAL_MILLIS = 400;
   private final ManualTimers timers = new ManualTimers();
-  private final SharedStore store = new SharedStore(timers, STORE_BYTES_PER_MILLI);
+  private final BandwidthLimitedLog store = new BandwidthLimitedLog(timers, STORE_BYTES_PER_MILLI);
 
   private void fill(int recordsOfPartition) {
     for (int partition = 0; partition < PARTITIONS; partition++) {
@@ -38,7 +39,7 @@
     }
   }
 
-  /** Starts a node's tails; the first candidate for a partition reads it at once. */
+  /** Starts a node's tails; the first standby node of a partition reads it without delay. */
   private List<LogTail> startNode(LogService log, int node) {
     List<LogTail> tails = new ArrayList<>();
     for (int partition = 0; partition < PARTITIONS; partition++) {
@@ -50,8 +51,8 @@
     return tails;
   }
 
-  private static long withMargin(double neededMillis) {
-    return (long) (neededMillis * MARGIN);
+  private static long withMargin(double expectedMillis) {
+    return (long) (expectedMillis * TIME_MARGIN_FACTOR);
   }
 
   private static boolean isCaughtUp(List<LogTail> node) {
@@ -59,66 +60,66 @@
   }
 
   @Test
-  void historyIsReadAboutOnce() {
+  void historyIsNotReadTwice() {
     fill(500);
     LogTail tail =
-        new LogTail(store.over(WIDE_BYTES_PER_MILLI), timers, "jobs.0", () -> 100, record -> {});
+        new LogTail(
+            store.withLink(WIDE_BYTES_PER_MILLI), timers, "jobs.0", () -> 100, record -> {});
     tail.start(0);
     timers.advance(2_000);
     assertThat(tail.isCaughtUp(), is(true));
-    assertThat(store.givenBytes(), lessThan(500L * RECORD_BYTES * 5 / 4));
+    assertThat(store.sentBytes(), lessThan(500L * RECORD_BYTES * 5 / 4));
   }
 
   @Test
-  void aNodeBehindANarrowLinkCatchesUpInAboutTheTimeThatItsLinkNeeds() {
-    fill(RECORDS);
-    List<LogTail> node = startNode(store.over(NARROW_BYTES_PER_MILLI), NODES - 1);
+  void nodeCatchesUpAtTheRateOfItsNarrowLink() {
+    fill(RECORDS_PER_PARTITION);
+    List<LogTail> node = startNode(store.withLink(NARROW_BYTES_PER_MILLI), NODES - 1);
     timers.advance(2_000 + withMargin(HISTORY_BYTES / NARROW_BYTES_PER_MILLI));
     assertThat(isCaughtUp(node), is(true));
   }
 
   @Test
-  void nodesThatStartTogetherCatchUpInAboutTheTimeThatTheStoreNeedsForThem() {
-    fill(RECORDS);
+  void nodesStartedTogetherCatchUpAtTheRateOfTheStore() {
+    fill(RECORDS_PER_PARTITION);
     List<List<LogTail>> nodes = new ArrayList<>();
     for (int node = 0; node < NODES; node++) {
       double link = node % 4 == 0 ? WIDE_BYTES_PER_MILLI : NARROW_BYTES_PER_MILLI;
-      nodes.add(startNode(store.over(link), node));
+      nodes.add(startNode(store.withLink(link), node));
     }
     timers.advance(3_000 + withMargin(NODES * HISTORY_BYTES / STORE_BYTES_PER_MILLI));
-    assertThat(nodes.stream().filter(SharedHistoryTest::isCaughtUp).count(), equalTo((long) NODES));
+    assertThat(
+        nodes.stream().filter(ConcurrentHistoryReadsTest::isCaughtUp).count(),
+        equalTo((long) NODES));
   }
 
-  /**
-   * A quarter of the nodes start anew, most of them behind narrow links. What a node that had no
-   * trouble is to know of servers comes over the same store.
-   */
+  /** A quarter of the nodes restart, most of them behind narrow links. */
   @Test
-  void newsOfServersThatLeaveComesInTimeWhileOtherNodesReadTheHistory() {
-    fill(RECORDS);
-    List<Long> heardAt = new ArrayList<>();
-    LogTail news =
+  void serverRecordsArriveInTimeWhileOtherNodesReadHistory() {
+    fill(RECORDS_PER_PARTITION);
+    List<Long> receivedAtMillis = new ArrayList<>();
+    LogTail serverTail =
         new LogTail(
-            store.over(WIDE_BYTES_PER_MILLI),
+            store.withLink(WIDE_BYTES_PER_MILLI),
             timers,
             "servers.0",
             () -> 0,
-            record -> heardAt.add(timers.nowMillis()));
-    news.start(0);
+            record -> receivedAtMillis.add(timers.nowMillis()));
+    serverTail.start(0);
     timers.advance(100);
     for (int node = 0; node < NODES / 4; node++) {
       double link = node < 6 ? WIDE_BYTES_PER_MILLI : NARROW_BYTES_PER_MILLI;
-      startNode(store.over(link), node * 4 + 1);
+      startNode(store.withLink(link), node * 4 + 1);
     }
-    for (int leaving = 0; leaving < LEAVING; leaving++) {
-      timers.advance(BETWEEN_LEAVING_MILLIS);
+    for (int leaving = 0; leaving < LEAVING_SERVERS; leaving++) {
+      timers.advance(LEAVE_INTERVAL_MILLIS);
       store.fill("servers.0", 1, 300);
     }
     timers.advance(30_000);
-    assertThat(heardAt, hasSize(LEAVING));
-    for (int i = 0; i < LEAVING; i++) {
-      long toldAtMillis = 100 + (i + 1) * BETWEEN_LEAVING_MILLIS;
-      assertThat(heardAt.get(i) - toldAtMillis, lessThan(DRAIN_BOUND_MILLIS));
+    assertThat(receivedAtMillis, hasSize(LEAVING_SERVERS));
+    for (int i = 0; i < LEAVING_SERVERS; i++) {
+      long appendedAtMillis = 100 + (i + 1) * LEAVE_INTERVAL_MILLIS;
+      assertThat(receivedAtMillis.get(i) - appendedAtMillis, lessThan(MAX_DELAY_MILLIS));
     }
   }
 }
--- a/node/src/test/java/org/passhaven/node/follow/HistoryReadQueueTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/HistoryReadQueueTest.java
@@ -18,17 +18,17 @@
 import org.passhaven.spi.PlatformException;
 
 class HistoryReadQueueTest {
-  /** Reads that a node has under way before it knows the way to the log. */
-  private static final int AT_FIRST = 4;
+  /** Reads in flight before the throughput of the log is known. */
+  private static final int INITIAL_WINDOW = 4;
 
   private final ManualTimers timers = new ManualTimers();
-  private final HeldLog log = new HeldLog();
-  private final HistoryReadQueue reads = new HistoryReadQueue(log, timers);
-  private final List<String> ends = new ArrayList<>();
+  private final ManualLog log = new ManualLog();
+  private final HistoryReadQueue queue = new HistoryReadQueue(log, timers);
+  private final List<String> outcomes = new ArrayList<>();
 
-  /** A log whose answers the test gives. */
-  private static final class HeldLog implements LogService {
-    private final Map<String, UniEmitter<? super Batch>> asked = new LinkedHashMap<>();
+  /** Log whose reads the test completes or fails. */
+  private static final class ManualLog implements LogService {
+    private final Map<String, UniEmitter<? super Batch>> pending = new LinkedHashMap<>();
     private final List<String> cancelled = new ArrayList<>();
 
     @Override
@@ -37,86 +37,87 @@
     }
 
     @Override
-    public Uni<Batch> read(String stream, long from, int most, long waitMillis) {
+    public Uni<Batch> read(String stream, long from, int maxRecords, long waitMillis) {
       return Uni.createFrom()
           .emitter(
               emitter -> {
-                asked.put(stream, emitter);
+                pending.put(stream, emitter);
                 emitter.onTermination(
                     () -> {
-                      if (asked.remove(stream) != null) {
+                      if (pending.remove(stream) != null) {
                         cancelled.add(stream);
                       }
                     });
               });
     }
 
-    void answer(String stream) {
-      asked.remove(stream).complete(new Batch(0, List.of(), 0));
+    void complete(String stream) {
+      pending.remove(stream).complete(new Batch(0, List.of(), 0));
     }
 
-    void lose(String stream) {
-      asked
+    void fail(String stream) {
+      pending
           .remove(stream)
           .fail(new PlatformException(PlatformException.Kind.OUTCOME_UNKNOWN, "lost"));
     }
   }
 
-  private Cancellable ask(Uni<LogService.Batch> read, String stream) {
-    return read.subscribe().with(batch -> ends.add(stream), failure -> ends.add("no " + stream));
+  private Cancellable startRead(Uni<LogService.Batch> read, String stream) {
+    return read.subscribe()
+        .with(batch -> outcomes.add(stream), failure -> outcomes.add("no " + stream));
   }
 
-  private List<Cancellable> ask(int streams) {
-    List<Cancellable> asked = new ArrayList<>();
+  private List<Cancellable> startReads(int streams) {
+    List<Cancellable> started = new ArrayList<>();
     for (int i = 0; i < streams; i++) {
-      asked.add(ask(reads.read("s." + i, 0), "s." + i));
+      started.add(startRead(queue.read("s." + i, 0), "s." + i));
     }
-    return asked;
+    return started;
   }
 
   @Test
-  void noMoreThanTheWindowAllowsAreUnderWay() {
-    ask(AT_FIRST + 3);
-    assertThat(log.asked.keySet(), hasSize(AT_FIRST));
+  void readsInFlightDoNotExceedTheWindow() {
+    startReads(INITIAL_WINDOW + 3);
+    assertThat(log.pending.keySet(), hasSize(INITIAL_WINDOW));
     timers.advance(500);
-    log.answer("s.0");
-    assertThat(log.asked.keySet(), contains("s.1", "s.2", "s.3", "s.4"));
-    assertThat(ends, contains("s.0"));
+    log.complete("s.0");
+    assertThat(log.pending.keySet(), contains("s.1", "s.2", "s.3", "s.4"));
+    assertThat(outcomes, contains("s.0"));
   }
 
   @Test
-  void aLostReadIsToldAndLeavesFewerTurns() {
-    ask(AT_FIRST + 3);
+  void failedReadIsReportedAndShrinksTheWindow() {
+    startReads(INITIAL_WINDOW + 3);
     timers.advance(1_200);
-    log.lose("s.0");
-    assertThat(ends, contains("no s.0"));
-    assertThat(log.asked.keySet(), contains("s.1", "s.2", "s.3"));
-    log.answer("s.1");
-    assertThat(log.asked.keySet(), contains("s.2", "s.3"));
-    log.answer("s.2");
-    assertThat(log.asked.keySet(), contains("s.3"));
+    log.fail("s.0");
+    assertThat(outcomes, contains("no s.0"));
+    assertThat(log.pending.keySet(), contains("s.1", "s.2", "s.3"));
+    log.complete("s.1");
+    assertThat(log.pending.keySet(), contains("s.2", "s.3"));
+    log.complete("s.2");
+    assertThat(log.pending.keySet(), contains("s.3"));
   }
 
   @Test
-  void aCancelledReadIsCancelledAtTheLogAndMakesRoom() {
-    List<Cancellable> asked = ask(AT_FIRST + 2);
-    asked.get(1).cancel();
+  void cancelledReadIsCancelledAtTheLogAndFreesItsSlot() {
+    List<Cancellable> started = startReads(INITIAL_WINDOW + 2);
+    started.get(1).cancel();
     assertThat(log.cancelled, contains("s.1"));
-    assertThat(log.asked.keySet(), contains("s.0", "s.2", "s.3", "s.4"));
-    asked.get(5).cancel();
+    assertThat(log.pending.keySet(), contains("s.0", "s.2", "s.3", "s.4"));
+    started.get(5).cancel();
     timers.advance(500);
-    log.answer("s.0");
-    assertThat(log.asked.keySet(), contains("s.2", "s.3", "s.4"));
-    assertThat(ends, contains("s.0"));
+    log.complete("s.0");
+    assertThat(log.pending.keySet(), contains("s.2", "s.3", "s.4"));
+    assertThat(outcomes, contains("s.0"));
   }
 
   @Test
-  void textsOfARunComeBeforeOtherHistory() {
-    ask(AT_FIRST + 1);
-    ask(reads.readWithPriority("texts.0", 0), "texts.0");
+  void priorityReadIsStartedBeforeQueuedReads() {
+    startReads(INITIAL_WINDOW + 1);
+    startRead(queue.readWithPriority("texts.0", 0), "texts.0");
     timers.advance(500);
-    log.answer("s.0");
-    assertThat(log.asked.keySet(), contains("s.1", "s.2", "s.3", "texts.0"));
+    log.complete("s.0");
+    assertThat(log.pending.keySet(), contains("s.1", "s.2", "s.3", "texts.0"));
     assertThat(log.cancelled, empty());
   }
 }
--- a/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/LogTailTest.java
@@ -18,7 +18,7 @@
 class LogTailTest {
   private final ManualTimers timers = new ManualTimers();
   private final MemoryLog log = new MemoryLog(timers);
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> delivered = new ArrayList<>();
   private long pauseMillis = 20;
   private final LogTail tail =
       new LogTail(
@@ -26,72 +26,72 @@
           timers,
           "s.0",
           () -> pauseMillis,
-          record -> seen.add(new String(record, StandardCharsets.UTF_8)));
+          record -> delivered.add(new String(record, StandardCharsets.UTF_8)));
 
-  private void add(String text) {
+  private void append(String text) {
     log.stream("s.0").add(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void recordsAreGivenOnceAndInOrder() {
-    add("a");
+  void recordsAreDeliveredOnceAndInOrder() {
+    append("a");
     tail.start(0);
-    add("b");
+    append("b");
     timers.advance(100);
-    add("c");
+    append("c");
     timers.advance(100);
-    assertThat(seen, contains("a", "b", "c"));
+    assertThat(delivered, contains("a", "b", "c"));
     assertThat(tail.isCaughtUp(), is(true));
   }
 
   @Test
-  void thePauseBetweenReadsIsAskedEachTime() {
+  void pauseIsQueriedBeforeEachRead() {
     tail.start(0);
     timers.advance(10);
     pauseMillis = 400;
-    add("a");
+    append("a");
     timers.advance(50);
-    add("b");
+    append("b");
     timers.advance(300);
-    assertThat(seen, contains("a"));
+    assertThat(delivered, contains("a"));
     pauseMillis = 20;
     timers.advance(100);
-    add("c");
+    append("c");
     timers.advance(30);
-    assertThat(seen, contains("a", "b", "c"));
+    assertThat(delivered, contains("a", "b", "c"));
   }
 
   @Test
-  void anOutageIsWaitedOut() {
+  void tailResumesAfterOutage() {
     tail.start(0);
     timers.advance(10);
     log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
     timers.advance(5_000);
-    add("a");
+    append("a");
     timers.advance(1_000);
     log.readBehavior = MemoryLog.Behavior.NORMAL;
     timers.advance(500);
-    assertThat(seen, contains("a"));
+    assertThat(delivered, contains("a"));
   }
 
   @Test
-  void recordsThatAreNoLongerKeptArePassedOver() {
-    add("a");
-    add("b");
+  void truncatedRecordsAreSkipped() {
+    append("a");
+    append("b");
     log.truncate("s.0", 1);
     tail.start(0);
     timers.advance(100);
-    assertThat(seen, contains("b"));
+    assertThat(delivered, contains("b"));
   }
 
-  private LogTail tailOfFewAtATime(List<Byte> got, LogTail.Listener listener) {
+  private LogTail tailWithSmallReads(List<Byte> received, LogTail.Listener listener) {
     return new LogTail(
-        new FewAtATime(log),
+        new SmallReadLog(log),
         timers,
         "s.0",
         () -> 0,
         record -> {
-          got.add(record[0]);
+          received.add(record[0]);
           listener.onRecord(record);
         });
   }
@@ -102,7 +102,7 @@
     }
   }
 
-  private static List<Byte> upTo(int records) {
+  private static List<Byte> firstRecords(int records) {
     List<Byte> all = new ArrayList<>();
     for (int i = 0; i < records; i++) {
       all.add((byte) i);
@@ -111,71 +111,72 @@
   }
 
   @Test
-  void aTailReadsLongHistoryInOrderAndGoesOn() {
+  void longHistoryIsReadInOrderAndFollowedByNewRecords() {
     fill(100);
-    List<Byte> got = new ArrayList<>();
-    tailOfFewAtATime(got, record -> {}).start(0);
+    List<Byte> received = new ArrayList<>();
+    tailWithSmallReads(received, record -> {}).start(0);
     timers.advance(50);
     log.stream("s.0").add(new byte[] {100});
     timers.advance(50);
-    assertThat(got, equalTo(upTo(101)));
+    assertThat(received, equalTo(firstRecords(101)));
   }
 
   @Test
-  void whatWasReadBeforeATroubleIsNotReadAgain() {
+  void recordsReadBeforeFailureAreNotReadAgain() {
     fill(30);
-    List<Byte> got = new ArrayList<>();
-    FewAtATime few = new FewAtATime(log);
-    LogTail reading = new LogTail(few, timers, "s.0", () -> 0, record -> got.add(record[0]));
-    few.failAfterReads = 4;
-    reading.start(0);
+    List<Byte> received = new ArrayList<>();
+    SmallReadLog smallReads = new SmallReadLog(log);
+    LogTail reader =
+        new LogTail(smallReads, timers, "s.0", () -> 0, record -> received.add(record[0]));
+    smallReads.failAfterReads = 4;
+    reader.start(0);
     timers.advance(10);
-    assertThat(got, equalTo(upTo(12)));
-    few.failAfterReads = Integer.MAX_VALUE;
+    assertThat(received, equalTo(firstRecords(12)));
+    smallReads.failAfterReads = Integer.MAX_VALUE;
     timers.advance(1_000);
-    assertThat(got, equalTo(upTo(30)));
-    assertThat(few.firstOffsets.subList(0, 4), contains(0L, 3L, 6L, 9L));
-    assertThat(few.firstOffsets.stream().filter(offset -> offset < 12).count(), is(4L));
+    assertThat(received, equalTo(firstRecords(30)));
+    assertThat(smallReads.firstOffsets.subList(0, 4), contains(0L, 3L, 6L, 9L));
+    assertThat(smallReads.firstOffsets.stream().filter(offset -> offset < 12).count(), is(4L));
   }
 
   @Test
-  void historyOfWhichTheBeginningIsGoneIsReadFromWhatIsKept() {
+  void truncatedHistoryIsReadFromFirstRetainedRecord() {
     fill(10);
     log.truncate("s.0", 4);
-    List<Byte> got = new ArrayList<>();
-    tailOfFewAtATime(got, record -> {}).start(0);
+    List<Byte> received = new ArrayList<>();
+    tailWithSmallReads(received, record -> {}).start(0);
     timers.advance(100);
-    assertThat(got, equalTo(upTo(10).subList(4, 10)));
+    assertThat(received, equalTo(firstRecords(10).subList(4, 10)));
   }
 
   @Test
-  void aRecordThatIsNotTakenNeitherEndsTheTailNorShiftsWhatFollows() {
+  void listenerExceptionNeitherStopsTailNorShiftsOffsets() {
     fill(20);
-    List<Byte> got = new ArrayList<>();
-    LogTail reading =
-        tailOfFewAtATime(
-            got,
+    List<Byte> received = new ArrayList<>();
+    LogTail reader =
+        tailWithSmallReads(
+            received,
             record -> {
               if (record[0] == 10 || record[0] == 21) {
-                throw new IllegalStateException("not taken");
+                throw new IllegalStateException("listener failure");
               }
             });
-    reading.start(0);
+    reader.start(0);
     timers.advance(50);
     for (byte i = 20; i < 25; i++) {
       log.stream("s.0").add(new byte[] {i});
       timers.advance(50);
     }
-    assertThat(got, equalTo(upTo(25)));
+    assertThat(received, equalTo(firstRecords(25)));
   }
 
-  /** A log whose reads give at most three records, and which refuses after some reads. */
-  private static final class FewAtATime implements LogService {
+  /** Log whose reads return at most three records and fail after a number of reads. */
+  private static final class SmallReadLog implements LogService {
     private final MemoryLog log;
     private final List<Long> firstOffsets = new ArrayList<>();
     private int failAfterReads = Integer.MAX_VALUE;
 
-    FewAtATime(MemoryLog log) {
+    SmallReadLog(MemoryLog log) {
       this.log = log;
     }
 
@@ -185,36 +186,36 @@
     }
 
     @Override
-    public Uni<Batch> read(String stream, long from, int most, long waitMillis) {
+    public Uni<Batch> read(String stream, long from, int maxRecords, long waitMillis) {
       if (firstOffsets.size() >= failAfterReads) {
         return Uni.createFrom()
             .failure(new PlatformException(PlatformException.Kind.NOT_RUN, "refused"));
       }
       firstOffsets.add(from);
-      return log.read(stream, from, Math.min(3, most), waitMillis);
+      return log.read(stream, from, Math.min(3, maxRecords), waitMillis);
     }
   }
 
   @Test
-  void aRefreshBesideTheWaitingReadGivesNothingTwice() {
+  void refreshDuringPendingReadDeliversNothingTwice() {
     tail.start(0);
     timers.advance(10);
-    add("a");
-    List<Boolean> sure = new ArrayList<>();
-    tail.refresh().subscribe().with(sure::add);
-    assertThat(seen, contains("a"));
+    append("a");
+    List<Boolean> outcomes = new ArrayList<>();
+    tail.refresh().subscribe().with(outcomes::add);
+    assertThat(delivered, contains("a"));
     timers.advance(100);
-    assertThat(seen, contains("a"));
-    assertThat(sure, contains(true));
+    assertThat(delivered, contains("a"));
+    assertThat(outcomes, contains(true));
   }
 
   @Test
-  void aRefreshDuringAnOutageIsNotSure() {
+  void refreshDuringOutageReturnsFalse() {
     tail.start(0);
     timers.advance(10);
     log.readBehavior = MemoryLog.Behavior.REJECTS_CALLS;
-    List<Boolean> sure = new ArrayList<>();
-    tail.refresh().subscribe().with(sure::add);
-    assertThat(sure, equalTo(List.of(false)));
+    List<Boolean> outcomes = new ArrayList<>();
+    tail.refresh().subscribe().with(outcomes::add);
+    assertThat(outcomes, equalTo(List.of(false)));
   }
 }
--- a/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
+++ b/node/src/test/java/org/passhaven/node/follow/TableFollowerTest.java
@@ -18,9 +18,9 @@
   private static final long PAUSE_MILLIS = 400;
   private final ManualTimers timers = new ManualTimers();
   private final List<String> keys = new ArrayList<>();
-  private final List<Long> readAtMillis = new ArrayList<>();
-  private long changesLeft = 3;
-  private UniEmitter<? super Changes> hung;
+  private final List<Long> readTimesMillis = new ArrayList<>();
+  private long remainingChanges = 3;
+  private UniEmitter<? super Changes> pending;
 
   private final TableService tables =
       new TableService() {
@@ -36,9 +36,9 @@
 
         @Override
         public Uni<Changes> changes(String table, long from, long waitMillis) {
-          readAtMillis.add(timers.nowMillis());
-          if (changesLeft-- <= 0) {
-            return Uni.createFrom().emitter(emitter -> hung = emitter);
+          readTimesMillis.add(timers.nowMillis());
+          if (remainingChanges-- <= 0) {
+            return Uni.createFrom().emitter(emitter -> pending = emitter);
           }
           Entry entry = new Entry("key" + from, new byte[1]);
           return Uni.createFrom().item(new Changes(List.of(entry), false, from + 1));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aBusyTableIsReadWithPauses() {
+  void busyTableIsReadWithPauses() {
     timers.advance(PAUSE_MILLIS - 1);
     assertThat(keys, equalTo(List.of("key0")));
     timers.advance(2 * PAUSE_MILLIS);
@@ -75,28 +75,28 @@
   }
 
   @Test
-  void whoNeedsNewsEndsThePause() {
+  void pauseCanBeEndedEarly() {
     follower.endReadPause();
     assertThat(keys, equalTo(List.of("key0", "key1")));
-    assertThat(readAtMillis.size(), equalTo(2));
+    assertThat(readTimesMillis.size(), equalTo(2));
     timers.advance(3 * PAUSE_MILLIS);
-    // The pause that was ended does not read once more.
-    assertThat(readAtMillis.size(), equalTo(4));
+    // The ended pause does not start a further read.
+    assertThat(readTimesMillis.size(), equalTo(4));
   }
 
   @Test
-  void hurryingAReadThatWaitsChangesNothing() {
+  void endingThePauseDuringPendingReadHasNoEffect() {
     timers.advance(3 * PAUSE_MILLIS);
-    int reads = readAtMillis.size();
+    int reads = readTimesMillis.size();
     follower.endReadPause();
-    assertThat(readAtMillis.size(), equalTo(reads));
+    assertThat(readTimesMillis.size(), equalTo(reads));
   }
 
   @Test
-  void aReadThatIsNotWaitedForAnyMoreIsBegunAnewAndItsLateAnswerIsDropped() {
+  void lateResponseOfReplacedReadIsDropped() {
     timers.advance(3 * PAUSE_MILLIS);
-    UniEmitter<? super Changes> late = hung;
-    changesLeft = 1;
+    UniEmitter<? super Changes> late = pending;
+    remainingChanges = 1;
     follower.restartReads();
     assertThat(keys, equalTo(List.of("key0", "key1", "key2", "key3")));
     late.complete(new Changes(List.of(new TableService.Entry("old", new byte[1])), false, 3));
