--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -22,134 +22,141 @@
 import org.passhaven.spi.MachineList.Machine;
 
 /**
- * What this node knows of the engines that it uses. Only engines in use are asked for reports, and
- * only so many a round, those asked longest ago first: the cost of a node does not grow with the
- * fleet.
+ * Tracks load, version and health of the engines that this node uses. Requests reports only from
+ * engines in use and from a limited number per round, least recently asked first, so that the cost
+ * does not grow with the number of engines. Used on the node's thread.
  */
 public final class EngineDirectory {
-  private static final long REPORT_LIMIT_MILLIS = 2_000;
+  private static final long REPORT_TIMEOUT_MILLIS = 2_000;
   private final NodeContext context;
   private final MachineWatcher machines;
-  private final Map<ServerId, Known> engines = new HashMap<>();
+  private final Map<ServerId, EngineState> engines = new HashMap<>();
   private final Map<EngineUse, Supplier<Boolean>> uses = new LinkedHashMap<>();
-  private final Map<EngineUse, Chosen> chosen = new HashMap<>();
+  private final Map<EngineUse, Selection> selections = new HashMap<>();
 
-  /** Creates a directory over the machine list. */
+  /** Creates a directory of the engines in the machine list. */
   public EngineDirectory(NodeContext context, MachineWatcher machines) {
     this.context = Objects.requireNonNull(context, "context");
     this.machines = Objects.requireNonNull(machines, "machines");
-    machines.addListener(ignored -> chosen.clear());
+    machines.addListener(ignored -> selections.clear());
   }
 
-  /** Begins to ask for reports. */
+  /** Starts requesting reports periodically. */
   public void start() {
-    context.timers().every(context.settings().loadReportInterval().toMillis(), this::askRound);
+    context
+        .timers()
+        .every(context.settings().loadReportInterval().toMillis(), this::requestReports);
   }
 
-  /** Declares a use of a group that lasts while {@code inUse} says so. */
+  /** Registers a use of an engine group, which ends once {@code inUse} returns false. */
   public void registerUse(EngineUse use, Supplier<Boolean> inUse) {
     uses.put(use, inUse);
   }
 
-  /** Engines of a use, those without a report left out. */
+  /** Returns the engines of a use that have sent a report. */
   public List<EngineView> views(EngineUse use) {
-    return views(chosenFor(use).all());
+    return views(selectionFor(use).all());
   }
 
-  /** Engines of a use's own part: those that the user orders to new versions. */
+  /**
+   * Returns the engines of the use's own partition that have sent a report; the user orders these
+   * to new versions.
+   */
   public List<EngineView> ownEngines(EngineUse use) {
-    return views(chosenFor(use).ownPart());
+    return views(selectionFor(use).ownPart());
   }
 
-  private List<EngineView> views(List<Machine> of) {
+  private List<EngineView> views(List<Machine> selected) {
     long now = context.timers().nowMillis();
     List<EngineView> views = new ArrayList<>();
-    for (Machine machine : of) {
-      Known known = engines.get(new ServerId(machine.id()));
-      if (known != null && known.report != null) {
-        views.add(view(machine, known, now));
+    for (Machine machine : selected) {
+      EngineState state = engines.get(new ServerId(machine.id()));
+      if (state != null && state.report != null) {
+        views.add(view(machine, state, now));
       }
     }
     return views;
   }
 
-  /** Whether the machine list is fresh enough to send new work by. */
+  /** Returns whether the machine list is recent enough to place new work. */
   public boolean isCurrent() {
     return machines.isCurrent();
   }
 
-  /** Whether an engine has answered its last requests for a report. */
+  /** Returns whether an engine has answered one of its last requests for a report. */
   public boolean isAnswering(ServerId engine) {
-    return known(engine).missedReports < Known.MOST_MISSED;
+    return stateOf(engine).missedReports < EngineState.MAX_MISSED_REPORTS;
   }
 
-  /** A generation went to an engine. */
+  /** Records that a generation was sent to an engine. */
   public void onGenerationStarted(ServerId engine) {
-    known(engine).outstanding++;
+    stateOf(engine).outstanding++;
   }
 
-  /** A generation left an engine; {@code failed} if the engine or the way to it was at fault. */
+  /**
+   * Records the end of a generation; {@code failed} if the engine or the connection to it failed.
+   */
   public void onGenerationEnded(ServerId engine, boolean failed) {
-    Known known = known(engine);
-    known.outstanding--;
+    EngineState state = stateOf(engine);
+    state.outstanding--;
     if (failed) {
-      known.health.onFailure(context.timers().nowMillis());
+      state.health.onFailure(context.timers().nowMillis());
     } else {
-      known.health.onSuccess(context.timers().nowMillis());
+      state.health.onSuccess(context.timers().nowMillis());
     }
   }
 
-  /** An engine was seen to serve a version, in an answer or in tokens. */
+  /** Records the version that an engine reported in a response or with tokens. */
   public void onVersionObserved(ServerId engine, long incarnation, long version) {
-    Known known = known(engine);
-    if (known.report != null
-        && known.report.incarnation() == incarnation
-        && known.report.version() < version) {
-      Report old = known.report;
-      known.report =
+    EngineState state = stateOf(engine);
+    if (state.report != null
+        && state.report.incarnation() == incarnation
+        && state.report.version() < version) {
+      Report previous = state.report;
+      state.report =
           new Report(
               incarnation,
-              old.model(),
+              previous.model(),
               version,
-              old.orderEpoch(),
-              old.running(),
-              old.queued(),
-              old.capacity(),
-              old.leaving());
+              previous.orderEpoch(),
+              previous.running(),
+              previous.queued(),
+              previous.capacity(),
+              previous.leaving());
     }
   }
 
-  private void askRound() {
+  private void requestReports() {
     uses.values().removeIf(inUse -> !inUse.get());
     Set<Machine> used = new LinkedHashSet<>();
-    uses.keySet().forEach(use -> used.addAll(chosenFor(use).all()));
+    uses.keySet().forEach(use -> used.addAll(selectionFor(use).all()));
     used.stream()
-        .filter(machine -> !known(new ServerId(machine.id())).asking)
+        .filter(machine -> !stateOf(new ServerId(machine.id())).isReportPending)
         .sorted(
             Comparator.comparingLong(
-                    (Machine machine) -> known(new ServerId(machine.id())).askedAtMillis)
+                    (Machine machine) -> stateOf(new ServerId(machine.id())).lastRequestMillis)
                 .thenComparing(Machine::id))
         .limit(context.settings().maxReportsPerInterval())
-        .forEach(this::ask);
+        .forEach(this::requestReport);
   }
 
-  private void ask(Machine machine) {
-    Known known = known(new ServerId(machine.id()));
-    known.asking = true;
-    known.askedAtMillis = context.timers().nowMillis();
+  private void requestReport(Machine machine) {
+    EngineState state = stateOf(new ServerId(machine.id()));
+    state.isReportPending = true;
+    state.lastRequestMillis = context.timers().nowMillis();
     context
         .timers()
         .withTimeout(
-            context.platform().engines().report(machine.address()), REPORT_LIMIT_MILLIS, "report")
+            context.platform().engines().report(machine.address()), REPORT_TIMEOUT_MILLIS, "report")
         .subscribe()
-        .with(known::onReport, failure -> known.onReportFailed());
+        .with(state::onReport, failure -> state.onReportFailed());
   }
 
-  private Chosen chosenFor(EngineUse use) {
-    return chosen.computeIfAbsent(use, this::choose);
+  private Selection selectionFor(EngineUse use) {
+    return selections.computeIfAbsent(use, this::selectEngines);
   }
 
-  private Chosen choose(EngineUse use) {
+  private Selection selectEngines(EngineUse use) {
     List<Machine> group = machines.machinesOf(MachineList.Kind.ENGINE, use.group());
     Map<String, Machine> byName = new LinkedHashMap<>();
     group.forEach(machine -> byName.put(machine.id(), machine));
@@ -159,23 +166,23 @@
         new LinkedHashSet<>(
             Partition.membersOf(use.partitionIndex(), use.partitionCount(), members));
     List<Machine> ownPart = own.stream().map(member -> byName.get(member.name())).toList();
-    for (Member further : Rendezvous.rank(use.user(), members, use.minEngines())) {
+    for (Member other : Rendezvous.rank(use.user(), members, use.minEngines())) {
       if (own.size() < use.minEngines()) {
-        own.add(further);
+        own.add(other);
       }
     }
-    return new Chosen(own.stream().map(member -> byName.get(member.name())).toList(), ownPart);
+    return new Selection(own.stream().map(member -> byName.get(member.name())).toList(), ownPart);
   }
 
-  private static EngineView view(Machine machine, Known known, long now) {
-    Report report = known.report;
-    int others = Math.max(0, report.load() - known.outstandingAtReport);
+  private static EngineView view(Machine machine, EngineState state, long now) {
+    Report report = state.report;
+    int othersLoad = Math.max(0, report.load() - state.outstandingAtReport);
     boolean usable =
         machine.state() == MachineList.State.LIVE
             && !report.leaving()
-            && known.missedReports < Known.MOST_MISSED
-            && known.health.isUsable(now);
-    int capacity = (int) Math.ceil(report.capacity() * known.health.loadShare(now));
+            && state.missedReports < EngineState.MAX_MISSED_REPORTS
+            && state.health.isUsable(now);
+    int capacity = (int) Math.ceil(report.capacity() * state.health.loadShare(now));
     return new EngineView(
         new ServerId(machine.id()),
         machine.address(),
@@ -183,35 +190,35 @@
         report.incarnation(),
         report.version(),
         Math.max(1, capacity),
-        others + known.outstanding,
+        othersLoad + state.outstanding,
         usable);
   }
 
-  private Known known(ServerId engine) {
-    return engines.computeIfAbsent(engine, ignored -> new Known());
+  private EngineState stateOf(ServerId engine) {
+    return engines.computeIfAbsent(engine, ignored -> new EngineState());
   }
 
-  private record Chosen(List<Machine> all, List<Machine> ownPart) {}
+  private record Selection(List<Machine> all, List<Machine> ownPart) {}
 
-  private static final class Known {
-    static final int MOST_MISSED = 2;
+  private static final class EngineState {
+    static final int MAX_MISSED_REPORTS = 2;
     final BackEndHealth health = new BackEndHealth();
     Report report;
     int outstanding;
     int outstandingAtReport;
     int missedReports;
-    boolean asking;
-    long askedAtMillis = Long.MIN_VALUE;
+    boolean isReportPending;
+    long lastRequestMillis = Long.MIN_VALUE;
 
-    void onReport(Report newest) {
-      asking = false;
+    void onReport(Report latest) {
+      isReportPending = false;
       missedReports = 0;
-      report = newest;
+      report = latest;
       outstandingAtReport = outstanding;
     }
 
     void onReportFailed() {
-      asking = false;
+      isReportPending = false;
       missedReports++;
     }
   }
--- a/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
+++ b/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
@@ -14,58 +14,60 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the newest machine list. A list that can't be read is kept as it was. */
+/**
+ * Polls the machine list and keeps the last one that was read, also when a fetch fails. Used on the
+ * node's thread.
+ */
 public final class MachineWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(MachineWatcher.class);
   private static final long NO_VERSION = -1;
-  private static final long LIMIT_MILLIS = 2_000;
-  private static final long MOST_AGE_MILLIS = 3_500;
+  private static final long FETCH_TIMEOUT_MILLIS = 2_000;
+  private static final long MAX_AGE_MILLIS = 3_500;
   private final NodeContext context;
   private final List<Consumer<List<Machine>>> listeners = new ArrayList<>();
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Runnable> waitingTasks = new ArrayList<>();
   private Map<Kind, Map<String, List<Machine>>> machines = Map.of();
   private long version = NO_VERSION;
   private final Map<String, Machine> byId = new TreeMap<>();
   private boolean fetching;
-  private long askedAtMillis = Long.MIN_VALUE / 2;
+  private long lastFetchMillis = Long.MIN_VALUE / 2;
 
-  /** Creates a watcher. */
+  /** Creates a watcher with an empty list. */
   public MachineWatcher(NodeContext context) {
     this.context = Objects.requireNonNull(context, "context");
   }
 
-  /** Calls {@code listener} with each new list. */
+  /** Adds a listener that is called with each changed list. */
   public void addListener(Consumer<List<Machine>> listener) {
     listeners.add(listener);
   }
 
-  /** Begins to watch. */
+  /** Starts polling the list. */
   public void start() {
     fetch();
     context.timers().every(context.settings().machineListInterval().toMillis(), this::fetch);
   }
 
-  /** Machines of a kind and group. */
+  /** Returns the machines of a kind and group. */
   public List<Machine> machinesOf(Kind kind, String group) {
     return machines.getOrDefault(kind, Map.of()).getOrDefault(group, List.of());
   }
 
   /**
-   * Whether the platform was asked for the list a short while ago, by this node's clock. A node
-   * that wakes from a pause holds an old list without knowing it, and must ask before it sends new
-   * work.
+   * Returns whether the list was fetched recently by the local clock. After a suspension of the
+   * node the list is outdated and must be fetched before new work is sent.
    */
   public boolean isCurrent() {
-    return context.timers().nowMillis() - askedAtMillis <= MOST_AGE_MILLIS;
+    return context.timers().nowMillis() - lastFetchMillis <= MAX_AGE_MILLIS;
   }
 
-  /** Runs {@code task} now if the list is current, else once the platform was asked again. */
+  /** Runs {@code task} now if the list is current, otherwise after the next fetch. */
   public void whenCurrent(Runnable task) {
     if (isCurrent()) {
       task.run();
       return;
     }
-    waiting.add(task);
+    waitingTasks.add(task);
     fetch();
   }
 
@@ -77,29 +79,31 @@
     long sentAtMillis = context.timers().nowMillis();
     context
         .timers()
-        .withTimeout(context.platform().machines().fetch(version), LIMIT_MILLIS, "machine list")
+        .withTimeout(
+            context.platform().machines().fetch(version), FETCH_TIMEOUT_MILLIS, "machine list")
         .subscribe()
         .with(listing -> onListing(listing, sentAtMillis), this::onFailure);
   }
 
   private void onFailure(Throwable failure) {
     LOG.debug("machines: the list can't be read: {}", failure.getMessage());
-    // A list that can't be had is no reason to stop serving.
-    onAsked(context.timers().nowMillis());
+    // A failed fetch counts too, so that the node goes on serving with the list it has.
+    onFetched(context.timers().nowMillis());
   }
 
   private void onListing(Listing listing, long sentAtMillis) {
-    boolean changed =
+    boolean isChanged =
         listing.whole() || !listing.machines().isEmpty() || !listing.removed().isEmpty();
     version = listing.version();
-    if (changed) {
-      take(listing);
+    if (isChanged) {
+      applyListing(listing);
     }
-    // An answer that waited through a pause of this node is as old as its request.
-    onAsked(sentAtMillis);
+    // The response may have waited through a suspension of this node, so its age counts from the
+    // request.
+    onFetched(sentAtMillis);
   }
 
-  private void take(Listing listing) {
+  private void applyListing(Listing listing) {
     if (listing.whole()) {
       byId.clear();
     }
@@ -112,15 +116,15 @@
     listeners.forEach(listener -> listener.accept(all));
   }
 
-  private void onAsked(long atMillis) {
+  private void onFetched(long fetchedAtMillis) {
     fetching = false;
-    askedAtMillis = atMillis;
+    lastFetchMillis = fetchedAtMillis;
     if (!isCurrent()) {
       fetch();
       return;
     }
-    List<Runnable> ready = List.copyOf(waiting);
-    waiting.clear();
+    List<Runnable> ready = List.copyOf(waitingTasks);
+    waitingTasks.clear();
     ready.forEach(Runnable::run);
   }
 }
--- a/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/ServiceDirectory.java
@@ -11,24 +11,27 @@
 import org.passhaven.spi.MachineList;
 import org.passhaven.spi.MachineList.Machine;
 
-/** What this node knows of service servers: own requests on them and their health. */
+/**
+ * Tracks this node's outstanding requests on service servers and the health of these servers. Used
+ * on the node's thread.
+ */
 public final class ServiceDirectory {
   private final NodeContext context;
   private final MachineWatcher machines;
-  private final Map<ServerId, Known> servers = new HashMap<>();
+  private final Map<ServerId, ServerState> servers = new HashMap<>();
 
-  /** Creates a directory over the machine list. */
+  /** Creates a directory of the service servers in the machine list. */
   public ServiceDirectory(NodeContext context, MachineWatcher machines) {
     this.context = Objects.requireNonNull(context, "context");
     this.machines = Objects.requireNonNull(machines, "machines");
   }
 
-  /** Runs {@code task} once the machine list is fresh enough to send new work by. */
+  /** Runs {@code task} once the machine list is recent enough to place new work. */
   public void whenCurrent(Runnable task) {
     machines.whenCurrent(task);
   }
 
-  /** Servers of a group that stay. */
+  /** Returns the live servers of a group. */
   public List<ServiceView> views(String group) {
     long now = context.timers().nowMillis();
     return machines.machinesOf(MachineList.Kind.SERVICE, group).stream()
@@ -38,52 +41,52 @@
   }
 
   private ServiceView view(Machine machine, long now) {
-    Known known = known(new ServerId(machine.id()));
+    ServerState state = stateOf(new ServerId(machine.id()));
     return new ServiceView(
         new ServerId(machine.id()),
         machine.address(),
         machine.zone(),
-        known.outstanding,
-        now < known.refusingUntilMillis ? 0 : known.health.loadShare(now));
+        state.outstanding,
+        now < state.backoffUntilMillis ? 0 : state.health.loadShare(now));
   }
 
-  /** A request went to a server. */
+  /** Records that a request was sent to a server. */
   public void onRequestStarted(ServerId server) {
-    known(server).outstanding++;
+    stateOf(server).outstanding++;
   }
 
-  /** A request was answered. */
+  /** Records that a server answered a request. */
   public void onRequestAnswered(ServerId server) {
-    Known known = known(server);
-    known.outstanding--;
-    known.health.onSuccess(context.timers().nowMillis());
+    ServerState state = stateOf(server);
+    state.outstanding--;
+    state.health.onSuccess(context.timers().nowMillis());
   }
 
-  /** A request failed on the way or in the server. */
+  /** Records that a request failed on the connection or in the server. */
   public void onRequestFailed(ServerId server) {
-    Known known = known(server);
-    known.outstanding--;
-    known.health.onFailure(context.timers().nowMillis());
+    ServerState state = stateOf(server);
+    state.outstanding--;
+    state.health.onFailure(context.timers().nowMillis());
   }
 
   /**
-   * The server said that it did not run a request: it leaves or is full, so it gets nothing for a
-   * while.
+   * Records that a server rejected a request because it is leaving or full; it gets no requests
+   * during the backoff.
    */
   public void onRequestRejected(ServerId server) {
-    Known known = known(server);
-    known.outstanding--;
-    known.refusingUntilMillis = context.timers().nowMillis() + Known.REFUSAL_PAUSE_MILLIS;
+    ServerState state = stateOf(server);
+    state.outstanding--;
+    state.backoffUntilMillis = context.timers().nowMillis() + ServerState.REFUSAL_BACKOFF_MILLIS;
   }
 
-  private Known known(ServerId server) {
-    return servers.computeIfAbsent(server, ignored -> new Known());
+  private ServerState stateOf(ServerId server) {
+    return servers.computeIfAbsent(server, ignored -> new ServerState());
   }
 
-  private static final class Known {
-    static final long REFUSAL_PAUSE_MILLIS = 500;
+  private static final class ServerState {
+    static final long REFUSAL_BACKOFF_MILLIS = 500;
     final BackEndHealth health = new BackEndHealth();
     int outstanding;
-    long refusingUntilMillis = Long.MIN_VALUE;
+    long backoffUntilMillis = Long.MIN_VALUE;
   }
 }
--- a/node/src/main/java/org/passhaven/node/backend/package-info.java
+++ b/node/src/main/java/org/passhaven/node/backend/package-info.java
@@ -1,2 +1,2 @@
-/** What a node knows of engines and service servers. */
+/** Directories of the engines and service servers that a node uses. */
 package org.passhaven.node.backend;
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -26,35 +26,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the newest configuration in force at this node and writes new ones.
+ * Follows the configuration in the log, activates its latest revision at this node and appends new
+ * revisions. Used on the node's thread.
  *
- * <p>Invariant: the image in force never goes to a smaller revision. While the log is down a node
- * that lost its memory takes the newest image of its peers; the log replaces it once it is as new.
+ * <p>Invariant: the revision of the active image never decreases. While the log is unavailable, a
+ * restarted node fetches the image from its peers.
  */
 public final class ConfigurationAgent implements StreamListener {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationAgent.class);
   private static final long PEER_PERIOD_MILLIS = 1_000;
-  private static final long PEER_LIMIT_MILLIS = 1_000;
+  private static final long PEER_TIMEOUT_MILLIS = 1_000;
 
-  /** Result of an application. */
+  /** Result of applying a configuration. */
   public sealed interface ApplyResult {
-    /** In force here, and soon everywhere. */
+    /** The configuration was written to the log and is active at this node. */
     record Accepted(long revision) implements ApplyResult {}
 
-    /** Another application came first, or the expected revision is not the newest. */
+    /** Another change was applied first, or the expected revision is not the latest. */
     record Conflict(long newestRevision, String newestOperator) implements ApplyResult {}
 
-    /** The log can't be written; nothing was applied. */
+    /** The log is unavailable; nothing was applied. */
     record LogDown() implements ApplyResult {}
 
-    /** The change itself is not allowed; nothing was applied. */
+    /** The configuration is invalid or changes a fixed setting; nothing was applied. */
     record NotAllowed(List<String> errors) implements ApplyResult {
       public NotAllowed {
         errors = List.copyOf(errors);
       }
     }
 
-    /** Same as what is in force. */
+    /** The configuration equals the latest one; nothing was applied. */
     record Unchanged(long revision) implements ApplyResult {}
   }
 
@@ -64,10 +65,10 @@
   private final StreamClient stream;
   private final ConfigurationLog log = new ConfigurationLog();
   private final List<Consumer<ConfigurationSnapshot>> listeners = new ArrayList<>();
-  private List<ConfigurationDocument> documentsInForce = List.of();
+  private List<ConfigurationDocument> activeDocuments = List.of();
   private ConfigurationSnapshot activeImage = ConfigurationSnapshot.EMPTY;
 
-  /** Creates the agent; {@code members} gives the nodes that may be asked for a newer image. */
+  /** Creates the agent; {@code members} returns the nodes that may have a newer image. */
   public ConfigurationAgent(
       NodeContext context, ConfigurationParser parser, Supplier<List<MemberState>> members) {
     this.context = Objects.requireNonNull(context, "context");
@@ -76,36 +77,36 @@
     this.stream = new StreamClient(context, ConfigurationLog.STREAM, this);
   }
 
-  /** Calls {@code listener} with each image that comes into force. */
+  /** Adds a listener that is called with each newly active image. */
   public void addListener(Consumer<ConfigurationSnapshot> listener) {
     listeners.add(listener);
   }
 
-  /** Begins to follow the log. */
+  /** Starts reading the log and fetching from peers. */
   public void start() {
     stream.start();
-    context.timers().every(PEER_PERIOD_MILLIS, this::askPeer);
+    context.timers().every(PEER_PERIOD_MILLIS, this::fetchFromPeer);
   }
 
-  /** Image in force. */
+  /** Returns the active image. */
   public ConfigurationSnapshot activeImage() {
     return activeImage;
   }
 
-  /** Documents in force. */
+  /** Returns the documents of the active image. */
   public List<ConfigurationDocument> documents() {
-    return documentsInForce;
+    return activeDocuments;
   }
 
-  /** Whether this node has learnt the configuration from the log or from a peer. */
+  /** Returns whether this node has read the configuration from the log or from a peer. */
   public boolean isReady() {
     return stream.isCaughtUp() || activeImage.revision() > 0;
   }
 
   /**
-   * Applies a whole configuration.
+   * Replaces the configuration by the given documents.
    *
-   * @param expected revision that the operator changed; negative for the newest
+   * @param expected revision on which the change is based; negative for the latest
    */
   public Uni<ApplyResult> apply(
       List<ConfigurationDocument> documents, long expected, String operator) {
@@ -129,19 +130,19 @@
   }
 
   /**
-   * A step is split by its trainer's number of shards, so that number can't change under open
-   * steps.
+   * Returns the errors of invalid or forbidden changes. A trainer's shards can't change, since open
+   * steps are partitioned by them.
    */
   private List<String> forbiddenChanges(List<ConfigurationDocument> documents) {
     List<String> errors = new ArrayList<>();
     try {
-      ConfigurationSnapshot wanted = parser.snapshot(log.revision(), documents);
-      wanted
+      ConfigurationSnapshot requested = parser.snapshot(log.revision(), documents);
+      requested
           .trainers()
           .forEach(
               (name, settings) -> {
-                TrainerSettings now = activeImage.trainers().get(name);
-                if (now != null && !now.shards().equals(settings.shards())) {
+                TrainerSettings current = activeImage.trainers().get(name);
+                if (current != null && !current.shards().equals(settings.shards())) {
                   errors.add(
                       "trainer/" + name + ": shards: can't change; give the trainer a new name");
                 }
@@ -160,12 +161,12 @@
   public boolean onEntry(LogEntry entry, boolean isOwn, long sentAtMillis) {
     boolean applied = log.apply(entry);
     if (applied) {
-      putInForce(log.revision(), log.documents());
+      activate(log.revision(), log.documents());
     }
     return applied;
   }
 
-  private void putInForce(long revision, List<ConfigurationDocument> documents) {
+  private void activate(long revision, List<ConfigurationDocument> documents) {
     if (revision <= activeImage.revision()) {
       return;
     }
@@ -175,48 +176,50 @@
       LOG.error("configuration: revision {} can't be read here: {}", revision, e.getMessage());
       return;
     }
-    documentsInForce = documents;
+    activeDocuments = documents;
     LOG.debug("configuration: revision {} is in force", revision);
     listeners.forEach(listener -> listener.accept(activeImage));
   }
 
-  /** Asks a peer for its image if the log is down or if that peer is known to be ahead. */
-  private void askPeer() {
-    List<MemberState> others =
+  /**
+   * Fetches the image from a peer that has a newer revision, or from any peer if the log is down.
+   */
+  private void fetchFromPeer() {
+    List<MemberState> peers =
         members.get().stream()
             .filter(state -> !state.node().equals(context.settings().node()))
             .toList();
-    Optional<MemberState> ahead =
-        others.stream()
+    Optional<MemberState> newerPeer =
+        peers.stream()
             .filter(state -> state.revision() > activeImage.revision())
             .max(Comparator.comparingLong(MemberState::revision));
-    if (others.isEmpty() || (ahead.isEmpty() && !stream.isDown())) {
+    if (peers.isEmpty() || (newerPeer.isEmpty() && !stream.isDown())) {
       return;
     }
     MemberState peer =
-        ahead.orElseGet(() -> others.get(context.randomBelow().applyAsInt(others.size())));
+        newerPeer.orElseGet(() -> peers.get(context.randomBelow().applyAsInt(peers.size())));
     PeerRequest request = new PeerRequest.FetchConfiguration(activeImage.revision());
     Uni<PeerResponse> call =
-        context.platform().peers().call(peer.address(), request, PEER_LIMIT_MILLIS);
+        context.platform().peers().call(peer.address(), request, PEER_TIMEOUT_MILLIS);
     context
         .timers()
-        .withTimeout(call, PEER_LIMIT_MILLIS, "peer")
+        .withTimeout(call, PEER_TIMEOUT_MILLIS, "peer")
         .subscribe()
         .with(
-            this::onPeerAnswer,
+            this::onPeerResponse,
             failure -> LOG.debug("configuration: peer {} gave no image", peer.node()));
   }
 
-  private void onPeerAnswer(PeerResponse response) {
+  private void onPeerResponse(PeerResponse response) {
     if (response instanceof PeerResponse.Configuration configuration) {
-      putInForce(configuration.revision(), configuration.documents());
+      activate(configuration.revision(), configuration.documents());
     }
   }
 
-  /** Answers a peer that asks for a newer image. */
+  /** Returns the active image to a peer if it is newer than the peer's. */
   public PeerResponse onFetch(PeerRequest.FetchConfiguration request) {
-    boolean newer = activeImage.revision() > request.newerThan();
+    boolean isNewer = activeImage.revision() > request.newerThan();
     return new PeerResponse.Configuration(
-        activeImage.revision(), newer ? documentsInForce : List.of());
+        activeImage.revision(), isNewer ? activeDocuments : List.of());
   }
 }
--- a/node/src/main/java/org/passhaven/node/configuration/package-info.java
+++ b/node/src/main/java/org/passhaven/node/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Following and applying the operators' configuration. */
+/** Reading and applying the operators' configuration. */
 package org.passhaven.node.configuration;
--- a/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
+++ b/node/src/main/java/org/passhaven/node/membership/MembershipAgent.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends heartbeats and carries out the decisions of the {@link MembershipTable}. */
+/**
+ * Exchanges gossip heartbeats and probes with other nodes and maintains the {@link
+ * MembershipTable}. Used on the node's thread.
+ */
 public final class MembershipAgent {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipAgent.class);
   private final NodeContext context;
@@ -25,7 +28,7 @@
   private final List<Runnable> listeners = new ArrayList<>();
   private List<NodeId> lastAlive = List.of();
 
-  /** Creates the agent; the platform's list introduces nodes. */
+  /** Creates the agent; nodes are discovered from the machine list. */
   public MembershipAgent(NodeContext context, MachineWatcher machines) {
     this.context = Objects.requireNonNull(context, "context");
     MemberState self =
@@ -41,37 +44,37 @@
     machines.addListener(this::onMachines);
   }
 
-  /** Calls {@code listener} when the set of live nodes has changed. */
+  /** Adds a listener that is called when the set of live nodes has changed. */
   public void addListener(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Begins to send heartbeats. */
+  /** Starts sending heartbeats periodically. */
   public void start() {
     long period = context.settings().membership().period().toMillis();
     context.timers().every(period, this::onPeriod);
   }
 
-  /** Live nodes with this one, by name. */
+  /** Returns the live nodes, including this one, sorted by name. */
   public List<MemberState> alive() {
     return table.alive();
   }
 
-  /** All that is believed of others. */
+  /** Returns the known states of all other nodes. */
   public List<MemberState> others() {
     return table.others();
   }
 
-  /** The configuration in force here changed. */
+  /** Sets the revision of the active configuration, which heartbeats announce. */
   public void setRevision(long revision) {
     table.setRevision(revision);
   }
 
-  /** Tells a few members that this node leaves. */
+  /** Announces to a few members that this node is leaving. */
   public void announceLeaving() {
     table.markLeaving();
     for (int i = 0; i < 3; i++) {
-      table.nextTarget().ifPresent(this::beat);
+      table.nextTarget().ifPresent(this::sendHeartbeat);
     }
     notifyIfChanged();
   }
@@ -90,17 +93,17 @@
 
   private void onPeriod() {
     table.onPeriod(context.timers().nowMillis());
-    table.nextTarget().ifPresent(this::beat);
+    table.nextTarget().ifPresent(this::sendHeartbeat);
     notifyIfChanged();
   }
 
-  private void beat(MemberState target) {
+  private void sendHeartbeat(MemberState target) {
     send(target, new PeerRequest.Gossip(table.self(), table.takeUpdates()))
         .subscribe()
-        .with(response -> onAnswer(response), failure -> askHelper(target));
+        .with(response -> onResponse(response), failure -> probeIndirectly(target));
   }
 
-  private void askHelper(MemberState target) {
+  private void probeIndirectly(MemberState target) {
     var helper = table.indirectProbeHelper(target.node());
     if (helper.isEmpty()) {
       table.onUnreachable(target.node(), context.timers().nowMillis());
@@ -110,48 +113,50 @@
     send(helper.get(), probe)
         .subscribe()
         .with(
-            response -> onProbed(target, response),
+            response -> onIndirectProbeResponse(target, response),
             failure -> table.onUnreachable(target.node(), context.timers().nowMillis()));
   }
 
-  private void onProbed(MemberState target, PeerResponse response) {
-    boolean reached = response instanceof PeerResponse.ProbeAnswer answer && answer.reached();
-    if (!reached) {
+  private void onIndirectProbeResponse(MemberState target, PeerResponse response) {
+    boolean isReached = response instanceof PeerResponse.ProbeAnswer answer && answer.reached();
+    if (!isReached) {
       table.onUnreachable(target.node(), context.timers().nowMillis());
     }
   }
 
   private Uni<PeerResponse> send(MemberState target, PeerRequest request) {
     context.metrics().peerMessages.increment();
-    long limit = context.settings().membership().suspectAfter().toMillis();
+    long timeoutMillis = context.settings().membership().suspectAfter().toMillis();
     return context
         .timers()
         .withTimeout(
-            context.platform().peers().call(target.address(), request, limit), limit, "heartbeat");
+            context.platform().peers().call(target.address(), request, timeoutMillis),
+            timeoutMillis,
+            "heartbeat");
   }
 
-  private void onAnswer(PeerResponse response) {
+  private void onResponse(PeerResponse response) {
     if (response instanceof PeerResponse.GossipAnswer answer) {
       table.onMessage(answer.sender(), answer.news(), context.timers().nowMillis());
       notifyIfChanged();
     }
   }
 
-  /** A heartbeat came in. */
+  /** Handles a received heartbeat. */
   public PeerResponse onGossip(PeerRequest.Gossip gossip) {
     table.onMessage(gossip.sender(), gossip.news(), context.timers().nowMillis());
     notifyIfChanged();
     return new PeerResponse.GossipAnswer(table.self(), table.takeUpdates());
   }
 
-  /** A node asks whether this one reaches another. */
+  /** Probes a node on behalf of another one. */
   public Uni<PeerResponse> onProbe(PeerRequest.Probe probe) {
     MemberState target =
         new MemberState(probe.target(), probe.targetAddress(), "", 0, 0, Status.ALIVE, 0);
     return send(target, new PeerRequest.Gossip(table.self(), List.of()))
         .map(
             response -> {
-              onAnswer(response);
+              onResponse(response);
               return (PeerResponse) new PeerResponse.ProbeAnswer(true);
             })
         .onFailure()
--- a/node/src/main/java/org/passhaven/node/membership/package-info.java
+++ b/node/src/main/java/org/passhaven/node/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Heartbeats between nodes. */
+/** Heartbeats between nodes and detection of failed nodes. */
 package org.passhaven.node.membership;
--- a/node/src/main/java/org/passhaven/node/stream/RecordSequence.java
+++ b/node/src/main/java/org/passhaven/node/stream/RecordSequence.java
@@ -1,14 +1,15 @@
 package org.passhaven.node.stream;
 
 /**
- * Numbers the records of one start of a node over all streams. A stream that is left and followed
- * again goes on with higher numbers, so that no identity is ever used twice. Not thread-safe.
+ * Generates the numbers of the records that one incarnation of a node appends to any stream. All
+ * streams share one sequence, so that a stream that is closed and opened again reuses no record
+ * identity. Not thread-safe.
  */
 public final class RecordSequence {
-  private long last;
+  private long lastNumber;
 
-  /** The next number. */
+  /** Returns the next number. */
   public long next() {
-    return ++last;
+    return ++lastNumber;
   }
 }
--- a/node/src/main/java/org/passhaven/node/stream/StreamClient.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamClient.java
@@ -18,54 +18,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows one stream of the log and writes to it.
+ * Reads one stream of the log continuously and appends records to it.
  *
- * <p>A writer learns the outcome of an append only by reading its own record back. One batch is in
- * flight at a time and is repeated under the same identities until it was read, so a lost answer
- * neither loses nor doubles a record, and no record of this writer overtakes another.
+ * <p>The outcome of an append is known once the record has been read back. One batch is in flight
+ * at a time and is retried with the same record identities until it has been read back, so that a
+ * lost response neither loses nor duplicates records and the records of this writer stay in order.
  *
- * <p>All calls on the node's thread.
+ * <p>Used on the node's thread.
  */
 public final class StreamClient {
   private static final Logger LOG = LoggerFactory.getLogger(StreamClient.class);
-  private static final int MOST_READ = 500;
-  private static final int MOST_IN_BATCH = 200;
+  private static final int MAX_RECORDS_PER_READ = 500;
+  private static final int MAX_RECORDS_PER_BATCH = 200;
   private static final long LONG_READ_WAIT_MILLIS = 8_000;
-  private static final long FRESH_MARGIN_MILLIS = 1_000;
+  private static final long RECENT_READ_MARGIN_MILLIS = 1_000;
   private static final long READ_MARGIN_MILLIS = 2_000;
-  private static final long FIRST_RETRY_MILLIS = 100;
-  private static final long MOST_RETRY_MILLIS = 2_000;
-  private static final long APPEND_LIMIT_MILLIS = 3_000;
-  private static final long READ_BACK_LIMIT_MILLIS = 3_000;
+  private static final long INITIAL_RETRY_DELAY_MILLIS = 100;
+  private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
+  private static final long APPEND_TIMEOUT_MILLIS = 3_000;
+  private static final long READ_BACK_TIMEOUT_MILLIS = 3_000;
   private static final long DOWN_AFTER_MILLIS = 1_500;
   private final NodeContext context;
   private final String stream;
   private final StreamListener listener;
   private final long readWaitMillis;
-  private final Deque<Pending> queued = new ArrayDeque<>();
-  private final List<Pending> inFlight = new ArrayList<>();
+  private final Deque<PendingAppend> queued = new ArrayDeque<>();
+  private final List<PendingAppend> inFlight = new ArrayList<>();
   private long nextOffset;
   private long batchNumber;
-  private boolean appending;
+  private boolean isAppending;
   private boolean closed;
   private boolean caughtUp;
   private long lastReadMillis = Long.MIN_VALUE / 2;
   private long failingSinceMillis = Long.MAX_VALUE;
-  private long retryMillis = FIRST_RETRY_MILLIS;
-  private long readRetryMillis = FIRST_RETRY_MILLIS;
+  private long appendRetryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
+  private long readRetryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
 
-  /**
-   * Creates a client that waits long for further records, for streams that nobody holds a lease in.
-   */
+  /** Creates a client with a long read wait, for streams that carry no leases. */
   public StreamClient(NodeContext context, String stream, StreamListener listener) {
     this(context, stream, listener, LONG_READ_WAIT_MILLIS);
   }
 
   /**
-   * Creates a client; {@link #start} begins to read.
+   * Creates a client; {@link #start} starts reading.
    *
-   * @param readWaitMillis how long a read waits for a first record; the log's silence is noticed
-   *     after it
+   * @param readWaitMillis longest time that a read waits for records; an unresponsive log is
+   *     detected after it
    */
   public StreamClient(
       NodeContext context, String stream, StreamListener listener, long readWaitMillis) {
@@ -75,7 +73,7 @@
     this.listener = Objects.requireNonNull(listener, "listener");
   }
 
-  /** Begins at the newest snapshot, if there is one, else at the start. */
+  /** Starts reading after the latest snapshot, or at the start of the stream if there is none. */
   public void start() {
     Uni<LogService.Batch> snapshots =
         context.platform().log().read(snapshotStream(), LogService.LAST, 1, 0);
@@ -92,7 +90,7 @@
   private void retryStart() {
     onReadFailure();
     if (!closed) {
-      context.timers().after(readRetryMillis, this::start);
+      context.timers().after(readRetryDelayMillis, this::start);
     }
   }
 
@@ -112,51 +110,54 @@
     }
   }
 
-  /** Stops reading and writing; what was not read back stays unknown to this writer. */
+  /** Stops reading and appending; pending appends are not completed. */
   public void close() {
     closed = true;
   }
 
-  /** Whether the log has failed for a while, so that a record would wait long. */
+  /** Returns whether calls to the log have failed for a sustained time. */
   public boolean isDown() {
     return context.timers().nowMillis() - failingSinceMillis > DOWN_AFTER_MILLIS;
   }
 
   /**
-   * Whether the log answered a read a short while ago; its silence says nothing of others
-   * otherwise.
+   * Returns whether the log answered a read recently. If not, missing records of other nodes don't
+   * show that these nodes have failed.
    */
   public boolean hasReadRecently() {
-    return context.timers().nowMillis() - lastReadMillis <= readWaitMillis + FRESH_MARGIN_MILLIS;
+    return context.timers().nowMillis() - lastReadMillis
+        <= readWaitMillis + RECENT_READ_MARGIN_MILLIS;
   }
 
-  /** Whether all records that the stream held at the last read were folded. */
+  /** Returns whether a read has reached the end of the stream. */
   public boolean isCaughtUp() {
     return caughtUp;
   }
 
-  /** Offset of the next record to read. */
+  /** Returns the offset of the next record to read. */
   public long nextOffset() {
     return nextOffset;
   }
 
-  /** Records that wait to be read back. */
+  /** Returns the number of records that are queued or not yet read back. */
   public int backlog() {
     return queued.size() + inFlight.size();
   }
 
   /**
-   * Writes a record; gives, once it was read back, whether it took effect. Never fails while open.
+   * Appends a record; returns whether it took effect, once it was read back. Never fails while
+   * open.
    */
   public Uni<Boolean> append(LogRecord record) {
-    Pending pending = new Pending(record);
+    PendingAppend pending = new PendingAppend(record);
     queued.add(pending);
     writeNext();
     return Uni.createFrom().emitter(emitter -> pending.subscribe(emitter));
   }
 
   /**
-   * Writes a snapshot of the fold up to the next offset. Any node's is good: the fold is the same.
+   * Writes a snapshot of the replicated state up to the next offset. Any node may write it, since
+   * the state is the same at each.
    */
   public void writeSnapshot(byte[] image) {
     LogRecord record = new LogRecord.SnapshotTaken(nextOffset, image);
@@ -165,7 +166,7 @@
             new RecordId(context.settings().node(), context.incarnation(), nextOffset), record);
     limit(
             context.platform().log().append(snapshotStream(), List.of(Codec.encode(entry))),
-            APPEND_LIMIT_MILLIS)
+            APPEND_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             ignored -> {}, failure -> LOG.debug("stream: snapshot of {} was not written", stream));
@@ -176,12 +177,12 @@
   }
 
   private void writeNext() {
-    if (appending || closed || queued.isEmpty() || !inFlight.isEmpty()) {
+    if (isAppending || closed || queued.isEmpty() || !inFlight.isEmpty()) {
       return;
     }
     long now = context.timers().nowMillis();
-    while (!queued.isEmpty() && inFlight.size() < MOST_IN_BATCH) {
-      Pending pending = queued.poll();
+    while (!queued.isEmpty() && inFlight.size() < MAX_RECORDS_PER_BATCH) {
+      PendingAppend pending = queued.poll();
       pending.id =
           new RecordId(
               context.settings().node(), context.incarnation(), context.recordSequence().next());
@@ -195,25 +196,25 @@
 
   private void sendBatch() {
     long sentBatch = batchNumber;
-    appending = true;
+    isAppending = true;
     List<byte[]> bytes =
         inFlight.stream().map(p -> Codec.encode(new LogEntry(p.id, p.record))).toList();
-    limit(context.platform().log().append(stream, bytes), APPEND_LIMIT_MILLIS)
+    limit(context.platform().log().append(stream, bytes), APPEND_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             offset -> {
-              retryMillis = FIRST_RETRY_MILLIS;
-              repeatLater(sentBatch, READ_BACK_LIMIT_MILLIS);
+              appendRetryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
+              scheduleRetry(sentBatch, READ_BACK_TIMEOUT_MILLIS);
             },
             failure -> {
-              noteFailure();
-              retryMillis = Math.min(MOST_RETRY_MILLIS, retryMillis * 2);
-              repeatLater(sentBatch, retryMillis);
+              recordFailure();
+              appendRetryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, appendRetryDelayMillis * 2);
+              scheduleRetry(sentBatch, appendRetryDelayMillis);
             });
   }
 
-  private void repeatLater(long sentBatch, long delayMillis) {
-    appending = false;
+  private void scheduleRetry(long sentBatch, long delayMillis) {
+    isAppending = false;
     if (inFlight.isEmpty()) {
       writeNext();
       return;
@@ -223,7 +224,7 @@
         .after(
             delayMillis,
             () -> {
-              if (!closed && !appending && sentBatch == batchNumber && !inFlight.isEmpty()) {
+              if (!closed && !isAppending && sentBatch == batchNumber && !inFlight.isEmpty()) {
                 context.metrics().appendsRepeated.increment();
                 sendBatch();
               }
@@ -234,23 +235,23 @@
     if (closed) {
       return;
     }
-    // The first reads do not wait, so that an empty stream is known to be caught up at once.
-    long wait = caughtUp ? readWaitMillis : 0;
+    // Reads before the end do not wait, so that an empty stream counts as caught up at once.
+    long waitMillis = caughtUp ? readWaitMillis : 0;
     limit(
-            context.platform().log().read(stream, nextOffset, MOST_READ, wait),
-            wait + READ_MARGIN_MILLIS)
+            context.platform().log().read(stream, nextOffset, MAX_RECORDS_PER_READ, waitMillis),
+            waitMillis + READ_MARGIN_MILLIS)
         .subscribe()
         .with(
             this::onBatch,
             failure -> {
               onReadFailure();
-              context.timers().after(readRetryMillis, this::read);
+              context.timers().after(readRetryDelayMillis, this::read);
             });
   }
 
   private void onReadFailure() {
-    noteFailure();
-    readRetryMillis = Math.min(MOST_RETRY_MILLIS, readRetryMillis * 2);
+    recordFailure();
+    readRetryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, readRetryDelayMillis * 2);
   }
 
   private void onBatch(LogService.Batch batch) {
@@ -259,7 +260,7 @@
     }
     failingSinceMillis = Long.MAX_VALUE;
     lastReadMillis = context.timers().nowMillis();
-    readRetryMillis = FIRST_RETRY_MILLIS;
+    readRetryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
     if (closed) {
       return;
     }
@@ -294,15 +295,15 @@
     boolean isOwn =
         entry.id().writer().equals(context.settings().node())
             && entry.id().incarnation() == context.incarnation();
-    Pending pending = isOwn ? takeInFlight(entry.id()) : null;
-    long sentAt = pending == null ? context.timers().nowMillis() : pending.sentAtMillis;
-    boolean effective = listener.onEntry(entry, isOwn, sentAt);
+    PendingAppend pending = isOwn ? removeInFlight(entry.id()) : null;
+    long sentAtMillis = pending == null ? context.timers().nowMillis() : pending.sentAtMillis;
+    boolean effective = listener.onEntry(entry, isOwn, sentAtMillis);
     if (pending != null) {
       pending.complete(effective);
     }
   }
 
-  private Pending takeInFlight(RecordId id) {
+  private PendingAppend removeInFlight(RecordId id) {
     for (int i = 0; i < inFlight.size(); i++) {
       if (inFlight.get(i).id.equals(id)) {
         return inFlight.remove(i);
@@ -311,22 +312,22 @@
     return null;
   }
 
-  private void noteFailure() {
+  private void recordFailure() {
     failingSinceMillis = Math.min(failingSinceMillis, context.timers().nowMillis());
   }
 
-  private <T> Uni<T> limit(Uni<T> uni, long limitMillis) {
-    return context.timers().withTimeout(uni, limitMillis, "log");
+  private <T> Uni<T> limit(Uni<T> uni, long timeoutMillis) {
+    return context.timers().withTimeout(uni, timeoutMillis, "log");
   }
 
-  private static final class Pending {
+  private static final class PendingAppend {
     final LogRecord record;
     RecordId id;
     long sentAtMillis;
     private Boolean outcome;
     private UniEmitter<? super Boolean> emitter;
 
-    Pending(LogRecord record) {
+    PendingAppend(LogRecord record) {
       this.record = Objects.requireNonNull(record, "record");
     }
 
--- a/node/src/main/java/org/passhaven/node/stream/package-info.java
+++ b/node/src/main/java/org/passhaven/node/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and writing one stream of the platform's log. */
+/** Reading and appending to a stream of the platform's log. */
 package org.passhaven.node.stream;
