--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -19,12 +19,13 @@
 import org.passhaven.standin.HttpEngineService;
 
 /**
- * Interactive completions in the shape that client libraries speak: JSON, or server-sent events.
+ * Handles interactive completion requests in the format of common client libraries; responds with
+ * JSON or server-sent events.
  */
 final class CompletionHandler {
-  private static final String USER = "completions";
+  private static final String ENGINE_USER = "completions";
   private static final int INTERACTIVE_PRIORITY = 100_000;
-  private static final long RETRY_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   @com.fasterxml.jackson.annotation.JsonIgnoreProperties(ignoreUnknown = true)
   record Body(String model, String prompt, Long seed, Boolean stream) {
@@ -50,23 +51,23 @@
   }
 
   private void handle(RoutingContext routing) {
-    Body body = Answers.body(routing, Body.class);
+    Body body = HttpMessages.readBody(routing, Body.class);
     ModelSettings model =
         body.model() == null ? null : node.configuration().activeImage().models().get(body.model());
     if (model == null || body.prompt() == null) {
-      Answers.problem(
+      HttpMessages.sendProblem(
           routing,
           Problem.notRun(
-              Answers.UNPROCESSABLE, "model and prompt are needed, the model configured"),
+              HttpMessages.UNPROCESSABLE, "model and prompt are needed, the model configured"),
           0);
       return;
     }
     EngineUse use =
         new EngineUse(
-            USER,
+            ENGINE_USER,
             model.engineGroup(),
-            node.completionPart(),
-            node.completionParts(),
+            node.completionPartIndex(),
+            node.completionPartCount(),
             node.context().settings().minEngineSubsetSize());
     node.engines()
         .registerUse(
@@ -75,8 +76,10 @@
         new LeastLoadedPicker(node.engines().views(use), node.context().settings().zone());
     Optional<EngineView> engine = picker.pick(0, null);
     if (engine.isEmpty()) {
-      Answers.problem(
-          routing, Problem.notRun(Answers.UNAVAILABLE, "no engine has room"), RETRY_MILLIS);
+      HttpMessages.sendProblem(
+          routing,
+          Problem.notRun(HttpMessages.UNAVAILABLE, "no engine has room"),
+          RETRY_AFTER_MILLIS);
       return;
     }
     generate(routing, body, engine.get());
@@ -90,7 +93,7 @@
             id, body.model(), body.prompt(), body.seed(), new int[0], INTERACTIVE_PRIORITY);
     List<Choice> choices = new ArrayList<>();
     node.engines().onGenerationStarted(engine.id());
-    Cancellable running =
+    Cancellable generation =
         node.context()
             .platform()
             .engines()
@@ -104,7 +107,7 @@
                 segment -> onSegment(routing, body, id, choices, segment),
                 failure -> onFailure(routing, failure),
                 () -> onFinished(routing, body, id, choices));
-    routing.response().closeHandler(running::cancel);
+    routing.response().closeHandler(generation::cancel);
   }
 
   private static void onSegment(
@@ -120,14 +123,14 @@
     writeEvent(
         routing,
         new String(
-            Answers.write(chunk(id, body, List.of(choice))),
+            HttpMessages.toJson(chunk(id, body, List.of(choice))),
             java.nio.charset.StandardCharsets.UTF_8));
   }
 
   private static void onFinished(
       RoutingContext routing, Body body, String id, List<Choice> choices) {
     if (!body.stream()) {
-      Answers.json(routing, Answers.OK, chunk(id, body, choices));
+      HttpMessages.sendJson(routing, HttpMessages.OK, chunk(id, body, choices));
       return;
     }
     writeEvent(routing, HttpEngineService.END_OF_STREAM);
@@ -136,11 +139,11 @@
 
   private static void onFailure(RoutingContext routing, Throwable failure) {
     if (routing.response().headWritten()) {
-      // The caller must see that its stream was cut and not take it for whole.
+      // Resets the stream so that the caller doesn't take a partial response for a complete one.
       routing.response().reset();
       return;
     }
-    Answers.failure(routing, failure);
+    HttpMessages.sendFailure(routing, failure);
   }
 
   private static Chunk chunk(String id, Body body, List<Choice> choices) {
--- a/node/src/main/java/org/passhaven/node/http/Answers.java
+++ b/node/src/main/java/org/passhaven/node/http/HttpMessages.java
@@ -10,8 +10,8 @@
 import org.passhaven.node.run.RolloutService.RolloutException;
 import org.passhaven.spi.PlatformException;
 
-/** Reads bodies and writes answers. */
-final class Answers {
+/** Reads JSON request bodies and sends JSON responses and problem details. */
+final class HttpMessages {
   static final int OK = 200;
   static final int ACCEPTED = 202;
   static final int BAD_REQUEST = 400;
@@ -29,40 +29,40 @@
           .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
           .build();
 
-  /** A body that can't be read. */
-  static final class BadBodyException extends RuntimeException {
+  /** Thrown when a request's body, header or path is invalid; the response is 400. */
+  static final class InvalidRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BadBodyException(String message) {
+    InvalidRequestException(String message) {
       super(message);
     }
   }
 
-  private Answers() {}
+  private HttpMessages() {}
 
-  static <T> T body(RoutingContext routing, Class<T> type) {
+  static <T> T readBody(RoutingContext routing, Class<T> type) {
     Buffer body = routing.body().buffer();
     if (body == null) {
-      throw new BadBodyException("a JSON body is needed");
+      throw new InvalidRequestException("a JSON body is needed");
     }
     try {
       T value = MAPPER.readValue(body.getBytes(), type);
       if (value == null) {
-        throw new BadBodyException("a JSON object is needed");
+        throw new InvalidRequestException("a JSON object is needed");
       }
       return value;
     } catch (JsonProcessingException e) {
-      throw new BadBodyException(e.getOriginalMessage());
+      throw new InvalidRequestException(e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadBodyException(String.valueOf(e.getMessage()));
+      throw new InvalidRequestException(String.valueOf(e.getMessage()));
     }
   }
 
-  static void json(RoutingContext routing, int status, Object value) {
+  static void sendJson(RoutingContext routing, int status, Object value) {
     send(routing, status, "application/json", value);
   }
 
-  static void problem(RoutingContext routing, Problem problem, long retryAfterMillis) {
+  static void sendProblem(RoutingContext routing, Problem problem, long retryAfterMillis) {
     if (retryAfterMillis > 0) {
       long seconds = (retryAfterMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
       routing.response().putHeader("Retry-After", Long.toString(seconds));
@@ -78,10 +78,10 @@
         .response()
         .setStatusCode(status)
         .putHeader("Content-Type", mediaType)
-        .endAndForget(Buffer.buffer(write(value)));
+        .endAndForget(Buffer.buffer(toJson(value)));
   }
 
-  static byte[] write(Object value) {
+  static byte[] toJson(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
@@ -89,19 +89,20 @@
     }
   }
 
-  /** Answers a failure of this layer or of those below. */
-  static void failure(RoutingContext routing, Throwable failure) {
-    if (failure instanceof BadBodyException || failure instanceof IllegalArgumentException) {
-      problem(routing, Problem.notRun(BAD_REQUEST, failure.getMessage()), 0);
+  /** Sends the problem details for a failure; chooses the status by the failure's type. */
+  static void sendFailure(RoutingContext routing, Throwable failure) {
+    if (failure instanceof InvalidRequestException || failure instanceof IllegalArgumentException) {
+      sendProblem(routing, Problem.notRun(BAD_REQUEST, failure.getMessage()), 0);
     } else if (failure instanceof RolloutException) {
-      problem(routing, Problem.notRun(UNPROCESSABLE, failure.getMessage()), 0);
-    } else if (failure instanceof PlatformException known
-        && known.kind() == PlatformException.Kind.NOT_RUN) {
-      problem(routing, Problem.notRun(UNAVAILABLE, failure.getMessage()), MILLIS_PER_SECOND);
+      sendProblem(routing, Problem.notRun(UNPROCESSABLE, failure.getMessage()), 0);
+    } else if (failure instanceof PlatformException platformFailure
+        && platformFailure.kind() == PlatformException.Kind.NOT_RUN) {
+      sendProblem(routing, Problem.notRun(UNAVAILABLE, failure.getMessage()), MILLIS_PER_SECOND);
     } else if (failure instanceof PlatformException) {
-      problem(routing, Problem.unknown(GATEWAY_TIMEOUT, failure.getMessage()), MILLIS_PER_SECOND);
+      sendProblem(
+          routing, Problem.unknown(GATEWAY_TIMEOUT, failure.getMessage()), MILLIS_PER_SECOND);
     } else {
-      problem(routing, Problem.unknown(INTERNAL_ERROR, "internal error"), 0);
+      sendProblem(routing, Problem.unknown(INTERNAL_ERROR, "internal error"), 0);
     }
   }
 }
--- a/node/src/main/java/org/passhaven/node/http/NodeServer.java
+++ b/node/src/main/java/org/passhaven/node/http/NodeServer.java
@@ -37,18 +37,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A node with its sockets: one verticle, so one event loop carries all of the node's work. */
+/**
+ * Runs a node behind an HTTP server. The server is a single verticle, so all of the node's work
+ * runs on one event loop.
+ */
 public final class NodeServer extends AbstractVerticle {
   private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
-  private static final int MOST_CONNECTIONS = 512;
-  private static final int CONNECT_LIMIT_MILLIS = 1_000;
-  private static final int IDLE_SECONDS = 120;
-  private static final int MOST_HEADER_BYTES = 16_384;
+  private static final int MAX_CONNECTIONS = 512;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int IDLE_TIMEOUT_SECONDS = 120;
+  private static final int MAX_HEADER_BYTES = 16_384;
   private static final int RANDOM_INCARNATION_BITS = 10;
   private final NodeSettings settings;
   private final String logAddress;
   private final String machineListAddress;
-  private final long mostBodyBytes;
+  private final long maxBodyBytes;
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private Node node;
@@ -56,14 +59,14 @@
 
   /** Creates a server; deploying it starts the node. */
   public NodeServer(
-      NodeSettings settings, String logAddress, String machineListAddress, long mostBodyBytes) {
+      NodeSettings settings, String logAddress, String machineListAddress, long maxBodyBytes) {
     this.settings = Objects.requireNonNull(settings, "settings");
     this.logAddress = Objects.requireNonNull(logAddress, "logAddress");
     this.machineListAddress = Objects.requireNonNull(machineListAddress, "machineListAddress");
-    this.mostBodyBytes = mostBodyBytes;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** The node; null before the start. */
+  /** Returns the node; null before the server is deployed. */
   public Node node() {
     return node;
   }
@@ -87,8 +90,8 @@
     Address address = Address.parse(settings.address());
     HttpServerOptions options =
         new HttpServerOptions()
-            .setMaxHeaderSize(MOST_HEADER_BYTES)
-            .setIdleTimeout(IDLE_SECONDS)
+            .setMaxHeaderSize(MAX_HEADER_BYTES)
+            .setIdleTimeout(IDLE_TIMEOUT_SECONDS)
             .setReuseAddress(true);
     server = vertx.createHttpServer(options).requestHandler(router());
     return server
@@ -106,14 +109,14 @@
         WebClient.create(
             vertx,
             new WebClientOptions()
-                .setMaxPoolSize(MOST_CONNECTIONS)
-                .setConnectTimeout(CONNECT_LIMIT_MILLIS)
+                .setMaxPoolSize(MAX_CONNECTIONS)
+                .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
                 .setFollowRedirects(false));
     var streams =
         vertx.createHttpClient(
             new HttpClientOptions()
-                .setMaxPoolSize(MOST_CONNECTIONS)
-                .setConnectTimeout(CONNECT_LIMIT_MILLIS));
+                .setMaxPoolSize(MAX_CONNECTIONS)
+                .setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
     return new Platform(
         new HttpLogService(web, logAddress),
         new HttpMachineList(web, machineListAddress),
@@ -124,10 +127,10 @@
 
   private Router router() {
     Router router = Router.router(vertx);
-    router.route().handler(BodyHandler.create(false).setBodyLimit(mostBodyBytes));
-    router.post(HttpPeerTransport.PATH).handler(this::peer);
+    router.route().handler(BodyHandler.create(false).setBodyLimit(maxBodyBytes));
+    router.post(HttpPeerTransport.PATH).handler(this::handlePeerRequest);
     router.get("/healthz").handler(routing -> routing.response().endAndForget("ok\n"));
-    router.get("/readyz").handler(this::ready);
+    router.get("/readyz").handler(this::handleReadiness);
     router
         .get("/metrics")
         .handler(
@@ -144,7 +147,7 @@
     return router;
   }
 
-  private void peer(RoutingContext routing) {
+  private void handlePeerRequest(RoutingContext routing) {
     try {
       PeerRequest request = Codec.decode(routing.body().buffer().getBytes(), PeerRequest.class);
       node.onPeerRequest(request)
@@ -155,32 +158,34 @@
                       .response()
                       .putHeader("Content-Type", HttpPeerTransport.MEDIA_TYPE)
                       .endAndForget(Buffer.buffer(Codec.encode(response))),
-              failure -> Answers.failure(routing, failure));
+              failure -> HttpMessages.sendFailure(routing, failure));
     } catch (CodecException e) {
-      Answers.problem(routing, Problem.notRun(Answers.BAD_REQUEST, e.getMessage()), 0);
+      HttpMessages.sendProblem(
+          routing, Problem.notRun(HttpMessages.BAD_REQUEST, e.getMessage()), 0);
     }
   }
 
-  private void ready(RoutingContext routing) {
+  private void handleReadiness(RoutingContext routing) {
     routing
         .response()
-        .setStatusCode(node.isReady() ? Answers.OK : Answers.UNAVAILABLE)
+        .setStatusCode(node.isReady() ? HttpMessages.OK : HttpMessages.UNAVAILABLE)
         .endAndForget(node.isReady() ? "ready\n" : "not ready\n");
   }
 
   private static void onFailure(RoutingContext routing) {
     int status = routing.statusCode();
-    boolean thrown = routing.failure() != null && (status <= 0 || status == Answers.INTERNAL_ERROR);
-    if (thrown) {
+    boolean isException =
+        routing.failure() != null && (status <= 0 || status == HttpMessages.INTERNAL_ERROR);
+    if (isException) {
       LOG.debug("node: a request failed", routing.failure());
-      Answers.failure(routing, routing.failure());
+      HttpMessages.sendFailure(routing, routing.failure());
       return;
     }
-    int code = status <= 0 ? Answers.BAD_REQUEST : status;
-    Answers.problem(routing, Problem.notRun(code, "the request can't be taken"), 0);
+    int code = status <= 0 ? HttpMessages.BAD_REQUEST : status;
+    HttpMessages.sendProblem(routing, Problem.notRun(code, "the request can't be taken"), 0);
   }
 
-  /** Planned stop; gives a result when nothing is in progress or the limit has passed. */
+  /** Drains and stops the node; completes when no request is in progress or the limit expires. */
   public Uni<Void> drain(long limitMillis) {
     return Uni.createFrom()
         .emitter(
@@ -190,7 +195,7 @@
                         node.stop(limitMillis).subscribe().with(emitter::complete, emitter::fail)));
   }
 
-  /** Applies a configuration from outside the node's own thread. */
+  /** Applies a configuration on the node's event loop; may be called from any thread. */
   public Uni<ApplyResult> apply(List<ConfigurationDocument> documents, String operator) {
     return Uni.createFrom()
         .emitter(
--- a/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
@@ -12,28 +12,28 @@
 import org.passhaven.protocol.ConfigurationDocument;
 import org.passhaven.protocol.MemberState;
 
-/** Operators' interface; docs/API.md describes it. */
+/** Handles operators' requests, which docs/API.md describes. */
 final class OperatorHandler {
-  private static final long STOP_LIMIT_MILLIS = 30_000;
+  private static final long DRAIN_TIMEOUT_MILLIS = 30_000;
 
   record FileBody(String name, String content) {}
 
   record ApplyBody(List<FileBody> files, String operator, Long expectedRevision) {}
 
-  record ApplyAnswer(long revision, boolean changed) {}
+  record ApplyResponse(long revision, boolean changed) {}
 
-  record ConfigurationAnswer(long revision, List<ConfigurationDocument> documents) {}
+  record ConfigurationResponse(long revision, List<ConfigurationDocument> documents) {}
 
-  record MemberAnswer(String node, String zone, String address, String status, long revision) {}
+  record MemberResponse(String node, String zone, String address, String status, long revision) {}
 
-  record StatusAnswer(
-      MemberAnswer self,
-      List<MemberAnswer> others,
+  record StatusResponse(
+      MemberResponse self,
+      List<MemberResponse> others,
       List<String> ownedShards,
       int followedShards,
       boolean ready) {}
 
-  record RevisionsAnswer(List<Node.NodeRevision> nodes) {}
+  record RevisionsResponse(List<Node.NodeRevision> nodes) {}
 
   private final Node node;
   private final ConfigurationParser parser = new ConfigurationParser();
@@ -44,21 +44,21 @@
 
   void addTo(Router router) {
     router.put("/v1/configuration").handler(this::apply);
-    router.get("/v1/configuration").handler(this::configuration);
-    router.get("/v1/status").handler(this::status);
-    router.get("/v1/revisions").handler(this::revisions);
+    router.get("/v1/configuration").handler(this::sendConfiguration);
+    router.get("/v1/status").handler(this::sendStatus);
+    router.get("/v1/revisions").handler(this::sendRevisions);
     router.post("/v1/drain").handler(this::drain);
   }
 
   private void apply(RoutingContext routing) {
-    ApplyBody body = Answers.body(routing, ApplyBody.class);
+    ApplyBody body = HttpMessages.readBody(routing, ApplyBody.class);
     List<ConfigurationDocument> documents;
     try {
       documents = parser.parse(files(body));
     } catch (ConfigurationException e) {
-      Answers.problem(
+      HttpMessages.sendProblem(
           routing,
-          Problem.notRun(Answers.UNPROCESSABLE, "the configuration is not valid", e.errors()),
+          Problem.notRun(HttpMessages.UNPROCESSABLE, "the configuration is not valid", e.errors()),
           0);
       return;
     }
@@ -67,29 +67,33 @@
     node.configuration()
         .apply(documents, expected, operator)
         .subscribe()
-        .with(result -> answer(routing, result), failure -> Answers.failure(routing, failure));
+        .with(
+            result -> sendApplyResult(routing, result),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 
   private static List<ConfigurationParser.SourceFile> files(ApplyBody body) {
     List<ConfigurationParser.SourceFile> files = new ArrayList<>();
     for (FileBody file : body.files() == null ? List.<FileBody>of() : body.files()) {
       if (file == null || file.name() == null || file.content() == null) {
-        throw new Answers.BadBodyException("files: each needs name and content");
+        throw new HttpMessages.InvalidRequestException("files: each needs name and content");
       }
       files.add(new ConfigurationParser.SourceFile(file.name(), file.content()));
     }
     return files;
   }
 
-  private static void answer(RoutingContext routing, ApplyResult result) {
+  private static void sendApplyResult(RoutingContext routing, ApplyResult result) {
     if (result instanceof ApplyResult.Accepted accepted) {
-      Answers.json(routing, Answers.OK, new ApplyAnswer(accepted.revision(), true));
+      HttpMessages.sendJson(routing, HttpMessages.OK, new ApplyResponse(accepted.revision(), true));
     } else if (result instanceof ApplyResult.Unchanged unchanged) {
-      Answers.json(routing, Answers.OK, new ApplyAnswer(unchanged.revision(), false));
+      HttpMessages.sendJson(
+          routing, HttpMessages.OK, new ApplyResponse(unchanged.revision(), false));
     } else if (result instanceof ApplyResult.NotAllowed notAllowed) {
-      Answers.problem(
+      HttpMessages.sendProblem(
           routing,
-          Problem.notRun(Answers.UNPROCESSABLE, "the change is not allowed", notAllowed.errors()),
+          Problem.notRun(
+              HttpMessages.UNPROCESSABLE, "the change is not allowed", notAllowed.errors()),
           0);
     } else if (result instanceof ApplyResult.Conflict conflict) {
       String title =
@@ -98,36 +102,36 @@
               + " by "
               + conflict.newestOperator()
               + " came first";
-      Answers.problem(routing, Problem.notRun(Answers.CONFLICT, title), 0);
+      HttpMessages.sendProblem(routing, Problem.notRun(HttpMessages.CONFLICT, title), 0);
     } else {
-      Answers.problem(
-          routing, Problem.notRun(Answers.UNAVAILABLE, "the log can't be written"), 2_000);
+      HttpMessages.sendProblem(
+          routing, Problem.notRun(HttpMessages.UNAVAILABLE, "the log can't be written"), 2_000);
     }
   }
 
-  private void configuration(RoutingContext routing) {
-    Answers.json(
+  private void sendConfiguration(RoutingContext routing) {
+    HttpMessages.sendJson(
         routing,
-        Answers.OK,
-        new ConfigurationAnswer(
+        HttpMessages.OK,
+        new ConfigurationResponse(
             node.configuration().activeImage().revision(), node.configuration().documents()));
   }
 
-  private void status(RoutingContext routing) {
+  private void sendStatus(RoutingContext routing) {
     Node.Status status = node.status();
-    Answers.json(
+    HttpMessages.sendJson(
         routing,
-        Answers.OK,
-        new StatusAnswer(
-            member(status.self()),
-            status.others().stream().map(OperatorHandler::member).toList(),
+        HttpMessages.OK,
+        new StatusResponse(
+            toResponse(status.self()),
+            status.others().stream().map(OperatorHandler::toResponse).toList(),
             status.ownedShards().stream().map(Object::toString).sorted().toList(),
-            status.followed(),
+            status.followedShardCount(),
             status.ready()));
   }
 
-  private static MemberAnswer member(MemberState state) {
-    return new MemberAnswer(
+  private static MemberResponse toResponse(MemberState state) {
+    return new MemberResponse(
         state.node().value(),
         state.zone(),
         state.address(),
@@ -136,22 +140,24 @@
   }
 
   /**
-   * Asks every live node which revision is in force there; a node that does not answer counts as at
-   * 0.
+   * Responds with the current configuration revision of every live node; 0 for a node that does not
+   * respond.
    */
-  private void revisions(RoutingContext routing) {
+  private void sendRevisions(RoutingContext routing) {
     node.revisions()
         .subscribe()
         .with(
-            revisions -> Answers.json(routing, Answers.OK, new RevisionsAnswer(revisions)),
-            failure -> Answers.failure(routing, failure));
+            revisions ->
+                HttpMessages.sendJson(routing, HttpMessages.OK, new RevisionsResponse(revisions)),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 
   private void drain(RoutingContext routing) {
-    node.stop(STOP_LIMIT_MILLIS)
+    node.stop(DRAIN_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            ignored -> Answers.json(routing, Answers.OK, new TrainerHandler.Done(true)),
-            failure -> Answers.failure(routing, failure));
+            ignored ->
+                HttpMessages.sendJson(routing, HttpMessages.OK, new TrainerHandler.Done(true)),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 }
--- a/node/src/main/java/org/passhaven/node/http/Problem.java
+++ b/node/src/main/java/org/passhaven/node/http/Problem.java
@@ -4,39 +4,39 @@
 import java.util.List;
 
 /**
- * Problem details (RFC 9457) of every error answer.
+ * Represents the problem details (RFC 9457) of an error response.
  *
- * @param title short text for a person
+ * @param title short description for humans
  * @param status HTTP status
- * @param outcome what became of the request, for programs
- * @param errors all errors found, if there may be several
+ * @param outcome whether the request may have run, for programs
+ * @param errors all validation errors; empty if there is only the title
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record Problem(String title, int status, Outcome outcome, List<String> errors) {
   /** Media type of problem details. */
   public static final String MEDIA_TYPE = "application/problem+json";
 
-  /** What became of a request. */
+  /** The outcome of a failed request. */
   public enum Outcome {
-    /** It was not run and will not be. */
+    /** The request was not run and will not be. */
     @com.fasterxml.jackson.annotation.JsonProperty("refused-not-run")
     REFUSED_NOT_RUN,
-    /** It may have run. */
+    /** The request may or may not have run. */
     @com.fasterxml.jackson.annotation.JsonProperty("outcome-unknown")
     OUTCOME_UNKNOWN
   }
 
-  /** A request that was not run. */
+  /** Returns the problem of a request that was not run. */
   public static Problem notRun(int status, String title) {
     return new Problem(title, status, Outcome.REFUSED_NOT_RUN, List.of());
   }
 
-  /** A request that was not run, with all its errors. */
+  /** Returns the problem of a request that was not run, with its validation errors. */
   public static Problem notRun(int status, String title, List<String> errors) {
     return new Problem(title, status, Outcome.REFUSED_NOT_RUN, List.copyOf(errors));
   }
 
-  /** A request that may have run. */
+  /** Returns the problem of a request that may have run. */
   public static Problem unknown(int status, String title) {
     return new Problem(title, status, Outcome.OUTCOME_UNKNOWN, List.of());
   }
--- a/node/src/main/java/org/passhaven/node/http/ServiceHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/ServiceHandler.java
@@ -10,10 +10,10 @@
 import org.passhaven.spi.ServiceBackEnd;
 import org.passhaven.standin.Headers;
 
-/** Callers' ordinary requests: {@code /services/NAME/PATH}. */
+/** Handles callers' requests to services, at {@code /services/NAME/PATH}. */
 final class ServiceHandler {
   private static final String PREFIX = "/services/";
-  private static final int MOST_KEY_LENGTH = 255;
+  private static final int MAX_KEY_LENGTH = 255;
   private final RequestService requests;
 
   ServiceHandler(RequestService requests) {
@@ -29,9 +29,9 @@
     String uri = routing.request().uri();
     String path = uri.substring(uri.indexOf(service, PREFIX.length()) + service.length());
     String key = header(routing, Headers.IDEMPOTENCY_KEY);
-    if (key.length() > MOST_KEY_LENGTH) {
-      throw new Answers.BadBodyException(
-          Headers.IDEMPOTENCY_KEY + ": at most " + MOST_KEY_LENGTH + " characters");
+    if (key.length() > MAX_KEY_LENGTH) {
+      throw new HttpMessages.InvalidRequestException(
+          Headers.IDEMPOTENCY_KEY + ": at most " + MAX_KEY_LENGTH + " characters");
     }
     Buffer body = routing.body().buffer();
     ServiceBackEnd.Request request =
@@ -43,9 +43,10 @@
             key);
     requests
         .call(
-            new CallerRequest(service, request, header(routing, Headers.CALLER), deadline(routing)))
+            new CallerRequest(
+                service, request, header(routing, Headers.CALLER), deadlineMillis(routing)))
         .subscribe()
-        .with(outcome -> answer(routing, outcome));
+        .with(outcome -> sendOutcome(routing, outcome));
   }
 
   private static String header(RoutingContext routing, String name) {
@@ -53,7 +54,7 @@
     return value == null ? "" : value;
   }
 
-  private static long deadline(RoutingContext routing) {
+  private static long deadlineMillis(RoutingContext routing) {
     String value = header(routing, Headers.DEADLINE);
     if (value.isEmpty()) {
       return 0;
@@ -61,12 +62,12 @@
     try {
       return Math.max(1, Long.parseLong(value));
     } catch (NumberFormatException e) {
-      throw new Answers.BadBodyException(
+      throw new HttpMessages.InvalidRequestException(
           Headers.DEADLINE + ": must be a whole number of milliseconds");
     }
   }
 
-  private static void answer(RoutingContext routing, RequestOutcome outcome) {
+  private static void sendOutcome(RoutingContext routing, RequestOutcome outcome) {
     if (outcome instanceof RequestOutcome.Answered answered) {
       routing
           .response()
@@ -74,11 +75,13 @@
           .putHeader("Content-Type", answered.response().contentType())
           .endAndForget(Buffer.buffer(answered.response().body()));
     } else if (outcome instanceof RequestOutcome.RefusedNotRun refused) {
-      int status = refused.retryAfterMillis() > 0 ? Answers.UNAVAILABLE : Answers.UNPROCESSABLE;
-      Answers.problem(
+      int status =
+          refused.retryAfterMillis() > 0 ? HttpMessages.UNAVAILABLE : HttpMessages.UNPROCESSABLE;
+      HttpMessages.sendProblem(
           routing, Problem.notRun(status, refused.reason()), refused.retryAfterMillis());
     } else if (outcome instanceof RequestOutcome.OutcomeUnknown unknown) {
-      Answers.problem(routing, Problem.unknown(Answers.GATEWAY_TIMEOUT, unknown.reason()), 0);
+      HttpMessages.sendProblem(
+          routing, Problem.unknown(HttpMessages.GATEWAY_TIMEOUT, unknown.reason()), 0);
     }
   }
 }
--- a/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
@@ -9,12 +9,12 @@
 import org.passhaven.protocol.Prompt;
 import org.passhaven.protocol.Sample;
 
-/** Trainers' interface; docs/API.md describes it. */
+/** Handles trainers' requests, which docs/API.md describes. */
 final class TrainerHandler {
-  private static final long LIMIT_MILLIS = 30_000;
-  private static final long MOST_WAIT_MILLIS = 30_000;
-  private static final int MOST_SAMPLES = 1_000;
-  private static final int MOST_SAMPLES_IN_STEP = 65_536;
+  private static final long REQUEST_TIMEOUT_MILLIS = 30_000;
+  private static final long MAX_WAIT_MILLIS = 30_000;
+  private static final int MAX_SAMPLES_PER_PULL = 1_000;
+  private static final int MAX_SAMPLES_PER_STEP = 65_536;
 
   record PromptBody(String text, long seed) {}
 
@@ -22,7 +22,7 @@
 
   record PullBody(List<Long> cursor, long trainerVersion, int most, long waitMillis) {}
 
-  record PullAnswer(List<Sample> samples, List<Long> cursor, int total, boolean complete) {}
+  record PullResponse(List<Sample> samples, List<Long> cursor, int total, boolean complete) {}
 
   record VersionBody(long version) {}
 
@@ -37,16 +37,16 @@
   void addTo(Router router) {
     router.post("/v1/trainers/:trainer/steps").handler(this::submit);
     router.post("/v1/trainers/:trainer/steps/:step/pull").handler(this::pull);
-    router.put("/v1/trainers/:trainer/version").handler(this::stateVersion);
+    router.put("/v1/trainers/:trainer/version").handler(this::reportVersion);
     router.delete("/v1/trainers/:trainer/run").handler(this::end);
   }
 
   private void submit(RoutingContext routing) {
-    StepBody body = Answers.body(routing, StepBody.class);
-    List<String> errors = check(body);
+    StepBody body = HttpMessages.readBody(routing, StepBody.class);
+    List<String> errors = validate(body);
     if (!errors.isEmpty()) {
-      Answers.problem(
-          routing, Problem.notRun(Answers.UNPROCESSABLE, "the step is not valid", errors), 0);
+      HttpMessages.sendProblem(
+          routing, Problem.notRun(HttpMessages.UNPROCESSABLE, "the step is not valid", errors), 0);
       return;
     }
     List<Prompt> prompts = new ArrayList<>();
@@ -59,14 +59,14 @@
             body.step(),
             prompts,
             body.samplesPerPrompt(),
-            LIMIT_MILLIS)
+            REQUEST_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            ignored -> Answers.json(routing, Answers.ACCEPTED, new Done(true)),
-            failure -> Answers.failure(routing, failure));
+            ignored -> HttpMessages.sendJson(routing, HttpMessages.ACCEPTED, new Done(true)),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 
-  private static List<String> check(StepBody body) {
+  private static List<String> validate(StepBody body) {
     List<String> errors = new ArrayList<>();
     if (body.step() < 0) {
       errors.add("step: must not be below 0");
@@ -78,8 +78,8 @@
       errors.add("prompts: must not be empty");
       return errors;
     }
-    if ((long) body.prompts().size() * body.samplesPerPrompt() > MOST_SAMPLES_IN_STEP) {
-      errors.add("prompts: at most " + MOST_SAMPLES_IN_STEP + " samples in a step");
+    if ((long) body.prompts().size() * body.samplesPerPrompt() > MAX_SAMPLES_PER_STEP) {
+      errors.add("prompts: at most " + MAX_SAMPLES_PER_STEP + " samples in a step");
     }
     for (int index = 0; index < body.prompts().size(); index++) {
       if (body.prompts().get(index) == null || body.prompts().get(index).text() == null) {
@@ -90,13 +90,13 @@
   }
 
   private void pull(RoutingContext routing) {
-    PullBody body = Answers.body(routing, PullBody.class);
+    PullBody body = HttpMessages.readBody(routing, PullBody.class);
     long step = parseStep(routing);
-    int most = Math.max(1, Math.min(MOST_SAMPLES, body.most()));
-    long wait = Math.max(0, Math.min(MOST_WAIT_MILLIS, body.waitMillis()));
+    int maxSamples = Math.max(1, Math.min(MAX_SAMPLES_PER_PULL, body.most()));
+    long waitMillis = Math.max(0, Math.min(MAX_WAIT_MILLIS, body.waitMillis()));
     List<Long> cursor = body.cursor() == null ? List.of() : body.cursor();
     if (cursor.stream().anyMatch(position -> position == null || position < 0)) {
-      throw new Answers.BadBodyException("cursor: positions must not be below 0");
+      throw new HttpMessages.InvalidRequestException("cursor: positions must not be below 0");
     }
     rollouts
         .pull(
@@ -104,47 +104,47 @@
             step,
             cursor,
             body.trainerVersion(),
-            most,
-            wait,
-            LIMIT_MILLIS)
+            maxSamples,
+            waitMillis,
+            REQUEST_TIMEOUT_MILLIS)
         .subscribe()
         .with(
             pulled ->
-                Answers.json(
+                HttpMessages.sendJson(
                     routing,
-                    Answers.OK,
-                    new PullAnswer(
+                    HttpMessages.OK,
+                    new PullResponse(
                         pulled.samples(), pulled.cursor(), pulled.total(), pulled.isComplete())),
-            failure -> Answers.failure(routing, failure));
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 
   private static long parseStep(RoutingContext routing) {
     try {
       return Long.parseLong(routing.pathParam("step"));
     } catch (NumberFormatException e) {
-      throw new Answers.BadBodyException("step: must be a whole number");
+      throw new HttpMessages.InvalidRequestException("step: must be a whole number");
     }
   }
 
-  private void stateVersion(RoutingContext routing) {
-    VersionBody body = Answers.body(routing, VersionBody.class);
+  private void reportVersion(RoutingContext routing) {
+    VersionBody body = HttpMessages.readBody(routing, VersionBody.class);
     if (body.version() < 0) {
-      throw new Answers.BadBodyException("version: must not be below 0");
+      throw new HttpMessages.InvalidRequestException("version: must not be below 0");
     }
     rollouts
-        .reportVersion(routing.pathParam("trainer"), body.version(), LIMIT_MILLIS)
+        .reportVersion(routing.pathParam("trainer"), body.version(), REQUEST_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            ignored -> Answers.json(routing, Answers.OK, new Done(true)),
-            failure -> Answers.failure(routing, failure));
+            ignored -> HttpMessages.sendJson(routing, HttpMessages.OK, new Done(true)),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 
   private void end(RoutingContext routing) {
     rollouts
-        .end(routing.pathParam("trainer"), LIMIT_MILLIS)
+        .end(routing.pathParam("trainer"), REQUEST_TIMEOUT_MILLIS)
         .subscribe()
         .with(
-            ignored -> Answers.json(routing, Answers.OK, new Done(true)),
-            failure -> Answers.failure(routing, failure));
+            ignored -> HttpMessages.sendJson(routing, HttpMessages.OK, new Done(true)),
+            failure -> HttpMessages.sendFailure(routing, failure));
   }
 }
--- a/node/src/main/java/org/passhaven/node/http/package-info.java
+++ b/node/src/main/java/org/passhaven/node/http/package-info.java
@@ -1,2 +1,2 @@
-/** Callers', operators' and peers' HTTP interfaces. */
+/** HTTP server of a node: the interfaces for callers, trainers, operators and peers. */
 package org.passhaven.node.http;
--- a/node/src/main/java/org/passhaven/node/request/IntentAgent.java
+++ b/node/src/main/java/org/passhaven/node/request/IntentAgent.java
@@ -18,34 +18,37 @@
 import org.passhaven.spi.ServiceBackEnd.Response;
 import org.passhaven.spi.Timers;
 
-/** Durable intents of one stream: decides whether this node may send the request of a key. */
+/**
+ * Records the intents of idempotency keys in one stream of the log and decides whether this node
+ * may send the request of a key.
+ */
 final class IntentAgent implements StreamListener {
-  /** Whether the request of a key may be sent. */
+  /** The decision on whether this node may send the request of a key. */
   sealed interface Decision {
-    /** This node holds the key and must send the request, or withdraw. */
-    record Run() implements Decision {}
+    /** This node recorded the first intent of the key: it must send the request or withdraw. */
+    record Send() implements Decision {}
 
-    /** The request of this key was answered before. */
+    /** The request of this key already has a response. */
     record Answered(Response response) implements Decision {}
 
-    /** Another request used this key. */
+    /** The key was already used for a different request. */
     record KeyReused() implements Decision {}
 
-    /** Another try of this key may have run; its answer is not known in time. */
-    record Unknown() implements Decision {}
+    /** Another attempt with this key may have run; its response did not arrive in time. */
+    record OutcomeUnknown() implements Decision {}
 
-    /** The intent could not be made durable; the request will not be sent. */
+    /** The intent could not be made durable in time; this node must not send the request. */
     record NotDurable() implements Decision {}
   }
 
-  private static final int SNAPSHOT_EVERY_RECORDS = 2_000;
-  private static final long IDLE_MILLIS = 60_000;
+  private static final int SNAPSHOT_INTERVAL_RECORDS = 2_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 60_000;
   private final NodeContext context;
   private final StreamClient stream;
   private IntentTable table = new IntentTable();
   private int recordsSinceSnapshot;
-  private long usedAtMillis;
-  private final Map<String, List<Waiting>> waiting = new HashMap<>();
+  private long lastUsedMillis;
+  private final Map<String, List<WaitingIntent>> waiting = new HashMap<>();
 
   IntentAgent(NodeContext context, String streamName) {
     this.context = Objects.requireNonNull(context, "context");
@@ -58,7 +61,7 @@
     boolean effective = table.apply(entry);
     recordsSinceSnapshot++;
     if (entry.record() instanceof LogRecord.IntentAnswered answered) {
-      answerWaiting(answered.key());
+      completeWaiting(answered.key());
     }
     return effective;
   }
@@ -71,16 +74,16 @@
 
   @Override
   public void onCaughtUp() {
-    if (recordsSinceSnapshot >= SNAPSHOT_EVERY_RECORDS) {
+    if (recordsSinceSnapshot >= SNAPSHOT_INTERVAL_RECORDS) {
       recordsSinceSnapshot = 0;
       stream.writeSnapshot(Codec.encode(table.toSnapshot()));
     }
   }
 
-  /** Stops following the stream if nothing was asked of it for a while; returns whether it did. */
+  /** Closes the stream if it is idle; returns whether it did. */
   boolean closeIfIdle() {
     boolean idle =
-        context.timers().nowMillis() - usedAtMillis > IDLE_MILLIS
+        context.timers().nowMillis() - lastUsedMillis > IDLE_TIMEOUT_MILLIS
             && stream.backlog() == 0
             && waiting.isEmpty();
     if (idle) {
@@ -89,78 +92,82 @@
     return idle;
   }
 
-  /** Whether an intent can be made durable soon. */
+  /** Returns whether the log is unavailable, so that no intent can be made durable. */
   boolean isDown() {
     return stream.isDown();
   }
 
-  /** Records the intent of a key, or finds what became of an earlier one, within a time limit. */
-  Uni<Decision> begin(String key, long requestDigest, long limitMillis) {
-    usedAtMillis = context.timers().nowMillis();
+  /**
+   * Records the intent of a key and returns the decision, at the latest when the time limit
+   * expires.
+   */
+  Uni<Decision> recordIntent(String key, long requestDigest, long limitMillis) {
+    lastUsedMillis = context.timers().nowMillis();
     return Uni.createFrom()
         .emitter(
             emitter -> {
-              Begin begin =
-                  new Begin(
+              PendingIntent intent =
+                  new PendingIntent(
                       key, requestDigest, emitter, context.timers().nowMillis() + limitMillis);
-              begin.timer = context.timers().after(limitMillis, () -> giveUp(begin));
+              intent.timer = context.timers().after(limitMillis, () -> onTimeout(intent));
               stream
                   .append(new LogRecord.IntentRecorded(key, requestDigest))
                   .subscribe()
-                  .with(first -> onReadBack(begin, first));
+                  .with(first -> onReadBack(intent, first));
             });
   }
 
-  private void giveUp(Begin begin) {
-    if (!begin.finished) {
-      // If the intent is read back as the first one after all, it is withdrawn then.
-      begin.finish(new Decision.NotDurable());
+  private void onTimeout(PendingIntent intent) {
+    if (!intent.finished) {
+      // An intent that is read back as the first one after the timeout is withdrawn.
+      intent.finish(new Decision.NotDurable());
     }
   }
 
-  private void onReadBack(Begin begin, boolean first) {
-    if (begin.finished) {
+  private void onReadBack(PendingIntent intent, boolean first) {
+    if (intent.finished) {
       if (first) {
-        withdraw(begin.key);
+        withdraw(intent.key);
       }
       return;
     }
     if (first) {
-      begin.finish(new Decision.Run());
+      intent.finish(new Decision.Send());
       return;
     }
-    Optional<IntentTable.Intent> known = table.find(begin.key);
-    if (known.isPresent() && known.get().requestDigest() != begin.requestDigest) {
-      begin.finish(new Decision.KeyReused());
+    Optional<IntentTable.Intent> known = table.find(intent.key);
+    if (known.isPresent() && known.get().requestDigest() != intent.requestDigest) {
+      intent.finish(new Decision.KeyReused());
     } else if (known.isPresent() && known.get().answer() == null) {
-      awaitAnswer(begin);
+      awaitAnswer(intent);
     } else if (known.isPresent()) {
-      begin.finish(new Decision.Answered(toResponse(known.get().answer())));
+      intent.finish(new Decision.Answered(toResponse(known.get().answer())));
     } else {
-      begin.finish(new Decision.NotDurable());
+      intent.finish(new Decision.NotDurable());
     }
   }
 
-  private void awaitAnswer(Begin begin) {
-    begin.timer.cancel();
-    Waiting entry = new Waiting(begin);
-    waiting.computeIfAbsent(begin.key, ignored -> new ArrayList<>()).add(entry);
-    long left = Math.max(0, begin.deadlineMillis - context.timers().nowMillis());
-    begin.timer = context.timers().after(left, () -> begin.finish(new Decision.Unknown()));
+  private void awaitAnswer(PendingIntent intent) {
+    intent.timer.cancel();
+    WaitingIntent entry = new WaitingIntent(intent);
+    waiting.computeIfAbsent(intent.key, ignored -> new ArrayList<>()).add(entry);
+    long remainingMillis = Math.max(0, intent.deadlineMillis - context.timers().nowMillis());
+    intent.timer =
+        context.timers().after(remainingMillis, () -> intent.finish(new Decision.OutcomeUnknown()));
   }
 
-  private void answerWaiting(String key) {
-    List<Waiting> entries = waiting.remove(key);
+  private void completeWaiting(String key) {
+    List<WaitingIntent> entries = waiting.remove(key);
     Optional<IntentTable.Intent> known = table.find(key);
     if (entries == null || known.isEmpty() || known.get().answer() == null) {
       return;
     }
     Response response = toResponse(known.get().answer());
-    entries.forEach(entry -> entry.begin().finish(new Decision.Answered(response)));
+    entries.forEach(entry -> entry.intent().finish(new Decision.Answered(response)));
   }
 
-  /** Records the answer of a key that this node ran. */
-  void answered(String key, Response response) {
+  /** Records the response to a request that this node sent. */
+  void recordAnswer(String key, Response response) {
     stream
         .append(
             new LogRecord.IntentAnswered(
@@ -169,7 +176,7 @@
         .with(effective -> {});
   }
 
-  /** No byte of the key's request was sent: a later try may run. */
+  /** Withdraws the intent of a request of which no byte was sent; a later attempt may send it. */
   void withdraw(String key) {
     stream.append(new LogRecord.IntentWithdrawn(key)).subscribe().with(effective -> {});
   }
@@ -178,9 +185,11 @@
     return new Response(answered.status(), answered.contentType(), answered.body());
   }
 
-  private record Waiting(Begin begin) {}
+  /** An intent that waits for the response to an earlier attempt with its key. */
+  private record WaitingIntent(PendingIntent intent) {}
 
-  private static final class Begin {
+  /** An intent whose decision is pending. */
+  private static final class PendingIntent {
     final String key;
     final long requestDigest;
     final UniEmitter<? super Decision> emitter;
@@ -188,7 +197,7 @@
     Timers.Timer timer;
     boolean finished;
 
-    Begin(
+    PendingIntent(
         String key, long requestDigest, UniEmitter<? super Decision> emitter, long deadlineMillis) {
       this.key = key;
       this.requestDigest = requestDigest;
--- a/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
+++ b/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
@@ -20,49 +20,47 @@
 import org.passhaven.spi.ServiceBackEnd;
 
 /**
- * Requests under an idempotency key: decides by the log which try may send, and where it is
- * carried.
+ * Handles requests with an idempotency key. Each key belongs to an intent stream in the log, which
+ * one node owns; the log decides which attempt may send the request.
  */
 final class KeyedRequests {
-  private static final long LOG_DOWN_RETRY_MILLIS = 2_000;
+  private static final long LOG_DOWN_RETRY_AFTER_MILLIS = 2_000;
   private static final long INTENT_MARGIN_MILLIS = 50;
-  private static final long LEAST_FORWARD_MILLIS = 200;
-  private static final long FORWARD_SHARE = 3;
+  private static final long MIN_FORWARD_TIMEOUT_MILLIS = 200;
+  private static final long FORWARD_TIMEOUT_DIVISOR = 3;
   private final NodeContext context;
-  private final Supplier<List<MemberState>> alive;
+  private final Supplier<List<MemberState>> liveNodes;
   private final Function<RequestCall, Uni<RequestOutcome>> sender;
   private final Map<String, IntentAgent> intents = new HashMap<>();
   private long nextCallId;
 
-  /** Creates the part; {@code sender} sends a request whose intent is durable. */
+  /** Creates a handler; {@code sender} sends a request whose intent is durable. */
   KeyedRequests(
       NodeContext context,
       Supplier<List<MemberState>> alive,
       Function<RequestCall, Uni<RequestOutcome>> sender) {
     this.context = Objects.requireNonNull(context, "context");
-    this.alive = Objects.requireNonNull(alive, "alive");
+    this.liveNodes = Objects.requireNonNull(alive, "alive");
     this.sender = Objects.requireNonNull(sender, "sender");
   }
 
   /**
-   * Carries a request under its key. The node that keeps the key's stream does it, so that each
-   * stream is followed by one node; if that node can't, this one does: the log decides who may
-   * send, whoever tries.
+   * Executes a request on the node that owns the key's stream, so that only one node reads each
+   * stream. Executes it on this node if the owner does not respond; this is safe because the log
+   * decides which node may send the request.
    */
-  Uni<RequestOutcome> carry(RequestCall call) {
+  Uni<RequestOutcome> execute(RequestCall call) {
     String stream = IntentTable.streamOf(call.key(), context.settings().intentStreamCount());
-    Optional<MemberState> keeper = keeperOf(stream);
-    if (call.forwarded
-        || keeper.isEmpty()
-        || keeper.get().node().equals(context.settings().node())) {
-      return carryHere(call, stream);
+    Optional<MemberState> owner = streamOwner(stream);
+    if (call.forwarded || owner.isEmpty() || owner.get().node().equals(context.settings().node())) {
+      return executeLocally(call, stream);
     }
-    return forward(call, keeper.get().address())
+    return forward(call, owner.get().address())
         .chain(
-            answer ->
-                answer instanceof PeerResponse.Carried carried
-                    ? Uni.createFrom().item(CarriedOutcome.toOutcome(carried))
-                    : carryHere(call, stream)
+            response ->
+                response instanceof PeerResponse.Carried carried
+                    ? Uni.createFrom().item(RequestOutcomeCodec.toOutcome(carried))
+                    : executeLocally(call, stream)
                         .map(outcome -> call.mayHaveRun ? withoutRefusal(outcome) : outcome));
   }
 
@@ -77,18 +75,23 @@
             request.contentType(),
             request.body(),
             request.idempotencyKey(),
-            call.left(context));
-    long limit = Math.max(LEAST_FORWARD_MILLIS, call.left(context) / FORWARD_SHARE);
+            call.remainingMillis(context));
+    long timeoutMillis =
+        Math.max(
+            MIN_FORWARD_TIMEOUT_MILLIS, call.remainingMillis(context) / FORWARD_TIMEOUT_DIVISOR);
     return context
         .timers()
-        .withTimeout(context.platform().peers().call(address, message, limit), limit, "keeper")
+        .withTimeout(
+            context.platform().peers().call(address, message, timeoutMillis),
+            timeoutMillis,
+            "stream owner")
         .onFailure()
         .recoverWithItem(
             failure -> {
-              // The keeper may still run it: from here on nobody can say that it was not run.
+              // The stream's owner may still run the request, so it can't be reported as not run.
               call.mayHaveRun |=
                   PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN;
-              return new PeerResponse.Refused("the keeper did not answer");
+              return new PeerResponse.Refused("the owner of the intent stream did not answer");
             });
   }
 
@@ -98,8 +101,8 @@
         : outcome;
   }
 
-  private Optional<MemberState> keeperOf(String stream) {
-    List<MemberState> members = alive.get();
+  private Optional<MemberState> streamOwner(String stream) {
+    List<MemberState> members = liveNodes.get();
     List<Member> ranked =
         Rendezvous.rank(
             stream,
@@ -112,28 +115,30 @@
             .findFirst();
   }
 
-  private Uni<RequestOutcome> carryHere(RequestCall call, String stream) {
+  private Uni<RequestOutcome> executeLocally(RequestCall call, String stream) {
     IntentAgent agent = intents.computeIfAbsent(stream, name -> new IntentAgent(context, name));
     if (agent.isDown()) {
       return Uni.createFrom()
-          .item(new RequestOutcome.RefusedNotRun("the log is down", LOG_DOWN_RETRY_MILLIS));
+          .item(new RequestOutcome.RefusedNotRun("the log is down", LOG_DOWN_RETRY_AFTER_MILLIS));
     }
     ServiceBackEnd.Request request = call.caller.request();
-    long limit = Math.max(1, call.left(context) - INTENT_MARGIN_MILLIS);
+    long timeoutMillis = Math.max(1, call.remainingMillis(context) - INTENT_MARGIN_MILLIS);
     return agent
-        .begin(
-            call.key(), RequestDigest.of(request.method(), request.path(), request.body()), limit)
+        .recordIntent(
+            call.key(),
+            RequestDigest.of(request.method(), request.path(), request.body()),
+            timeoutMillis)
         .chain(decision -> onDecision(call, call.key(), agent, decision));
   }
 
-  /** Stops following streams that were not used for a while. */
+  /** Closes the streams that are idle. */
   void closeIdle() {
     intents.values().removeIf(IntentAgent::closeIfIdle);
   }
 
   private Uni<RequestOutcome> onDecision(
       RequestCall call, String key, IntentAgent agent, IntentAgent.Decision decision) {
-    if (decision instanceof IntentAgent.Decision.Run) {
+    if (decision instanceof IntentAgent.Decision.Send) {
       return sender.apply(call).invoke(outcome -> onOwnOutcome(key, agent, outcome));
     }
     RequestOutcome outcome;
@@ -145,7 +150,7 @@
     } else if (decision instanceof IntentAgent.Decision.NotDurable) {
       outcome =
           new RequestOutcome.RefusedNotRun(
-              "the intent could not be made durable", LOG_DOWN_RETRY_MILLIS);
+              "the intent could not be made durable", LOG_DOWN_RETRY_AFTER_MILLIS);
     } else {
       outcome = new RequestOutcome.OutcomeUnknown("an earlier try of this key has no known answer");
     }
@@ -154,7 +159,7 @@
 
   private static void onOwnOutcome(String key, IntentAgent agent, RequestOutcome outcome) {
     if (outcome instanceof RequestOutcome.Answered answered) {
-      agent.answered(key, answered.response());
+      agent.recordAnswer(key, answered.response());
     } else if (outcome instanceof RequestOutcome.RefusedNotRun) {
       agent.withdraw(key);
     }
--- a/node/src/main/java/org/passhaven/node/request/RequestCall.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestCall.java
@@ -9,22 +9,22 @@
 import org.passhaven.node.request.RequestService.CallerRequest;
 import org.passhaven.protocol.ServerId;
 
-/** One request on its way, with what is known of whether it may have run. */
+/** Holds the state of a caller's request in flight, including whether it may have run. */
 final class RequestCall {
-  private static final long NO_SERVER_RETRY_MILLIS = 500;
+  private static final long NO_SERVER_RETRY_AFTER_MILLIS = 500;
   final CallerRequest caller;
   final ServiceSettings settings;
   final RequestClass requestClass;
   final long deadlineMillis;
   final boolean forwarded;
-  final Set<ServerId> tried = new HashSet<>();
+  final Set<ServerId> triedServers = new HashSet<>();
   boolean mayHaveRun;
 
   /**
    * Creates a call.
    *
-   * @param deadlineMillis moment, in the node's monotonic milliseconds, by which the caller is told
-   * @param forwarded whether another node took it from its caller
+   * @param deadlineMillis time on the node's monotonic clock by which the caller gets the outcome
+   * @param forwarded whether another node accepted the request and forwarded it to this one
    */
   RequestCall(
       CallerRequest caller, ServiceSettings settings, long deadlineMillis, boolean forwarded) {
@@ -35,27 +35,28 @@
     this.requestClass = settings.classOf(caller.request().method(), caller.request().path());
   }
 
-  /** Idempotency key within the service. */
+  /** Returns the idempotency key, prefixed with the service's name. */
   String key() {
     return caller.service() + ":" + caller.request().idempotencyKey();
   }
 
-  /** Whether an intent must be durable before the first byte is sent. */
+  /** Returns whether an intent must be durable before the first byte is sent. */
   boolean needsIntent() {
     return requestClass == RequestClass.AT_MOST_ONCE
         && !caller.request().idempotencyKey().isEmpty();
   }
 
-  /** Milliseconds left to the deadline. */
-  long left(NodeContext context) {
+  /** Returns the milliseconds remaining until the deadline. */
+  long remainingMillis(NodeContext context) {
     return deadlineMillis - context.timers().nowMillis();
   }
 
-  /** The final outcome of a request that no server answered. */
-  RequestOutcome unsent() {
+  /** Returns the final outcome of a request that no server answered. */
+  RequestOutcome noResponseOutcome() {
     return mayHaveRun
         ? new RequestOutcome.OutcomeUnknown(
             "no answer came from a server that may have run the request")
-        : new RequestOutcome.RefusedNotRun("no server took the request", NO_SERVER_RETRY_MILLIS);
+        : new RequestOutcome.RefusedNotRun(
+            "no server took the request", NO_SERVER_RETRY_AFTER_MILLIS);
   }
 }
--- a/node/src/main/java/org/passhaven/node/request/RequestOutcome.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestOutcome.java
@@ -2,17 +2,18 @@
 
 import org.passhaven.spi.ServiceBackEnd.Response;
 
-/** What a caller is told; exactly one of three. */
+/** The outcome of a caller's request: a response, a refusal, or unknown. */
 public sealed interface RequestOutcome {
-  /** The whole answer to this request. */
+  /** A server answered the request; {@code response} is complete. */
   record Answered(Response response) implements RequestOutcome {}
 
   /**
-   * The request was not run and will not be. {@code retryAfterMillis} says when to come back; 0 if
-   * unknown.
+   * The request was not run and will not be.
+   *
+   * @param retryAfterMillis time after which the caller may retry; 0 if unknown
    */
   record RefusedNotRun(String reason, long retryAfterMillis) implements RequestOutcome {}
 
-  /** The request may have run. */
+  /** The request may or may not have run. */
   record OutcomeUnknown(String reason) implements RequestOutcome {}
 }
--- a/node/src/main/java/org/passhaven/node/request/CarriedOutcome.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestOutcomeCodec.java
@@ -4,11 +4,11 @@
 import org.passhaven.protocol.PeerResponse.Carried;
 import org.passhaven.spi.ServiceBackEnd.Response;
 
-/** Turns outcomes into messages between nodes and back. */
-final class CarriedOutcome {
+/** Converts request outcomes to and from the messages that nodes exchange. */
+final class RequestOutcomeCodec {
   private static final byte[] NO_BODY = new byte[0];
 
-  private CarriedOutcome() {}
+  private RequestOutcomeCodec() {}
 
   static PeerResponse toMessage(RequestOutcome outcome) {
     if (outcome instanceof RequestOutcome.Answered answered) {
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -28,29 +28,29 @@
 import org.passhaven.spi.ServiceBackEnd.Response;
 
 /**
- * Carries callers' requests to service servers.
+ * Sends callers' requests to the servers of a service.
  *
- * <p>A request is sent again only if it is known not to have run, or may be repeated; and only
- * while the retry budget of its service lasts. A non-repeatable request with a key is sent only
- * after its intent is durable; one without a key is sent to at most one server that may have run
- * it.
+ * <p>A request is retried only if it is known not to have run or is repeatable, and only within the
+ * retry budget of its service; the first retry after a server's refusal is free. A non-repeatable
+ * request with an idempotency key is sent only after its intent is durable; one without a key is
+ * not retried once a server may have run it.
  */
 public final class RequestService {
   private static final int RETRY_PARTS_PER_REQUEST = 100;
-  private static final int MOST_RETRIES_SAVED = 20;
-  private static final long NO_SERVER_RETRY_MILLIS = 500;
-  private static final long OVERLOAD_RETRY_MILLIS = 1_000;
-  private static final int MOST_CARRIED_REMEMBERED = 2_000;
-  private static final long LEAST_ATTEMPT_MILLIS = 100;
-  private static final long ATTEMPT_SHARE = 4;
-  private static final long IDLE_CHECK_MILLIS = 10_000;
-  private static final int MOST_OUTSTANDING_PER_SERVER = 256;
+  private static final int MAX_SAVED_RETRIES = 20;
+  private static final long NO_SERVER_RETRY_AFTER_MILLIS = 500;
+  private static final long OVERLOAD_RETRY_AFTER_MILLIS = 1_000;
+  private static final int MAX_REMEMBERED_FORWARDED_CALLS = 2_000;
+  private static final long MIN_ATTEMPT_TIMEOUT_MILLIS = 100;
+  private static final long ATTEMPT_TIMEOUT_DIVISOR = 4;
+  private static final long IDLE_CHECK_INTERVAL_MILLIS = 10_000;
+  private static final int MAX_OUTSTANDING_PER_SERVER = 256;
 
   /**
-   * One request of a caller.
+   * Represents a caller's request to a service.
    *
-   * @param caller name for limits; empty if it gave none
-   * @param deadlineMillis longest time to an answer; 0 for the service's own
+   * @param caller caller's name for rate limits; empty if it gave none
+   * @param deadlineMillis time limit for the outcome; 0 for the service's default
    */
   public record CallerRequest(
       String service, ServiceBackEnd.Request request, String caller, long deadlineMillis) {}
@@ -59,21 +59,26 @@
   private final ServiceDirectory servers;
   private final Supplier<ConfigurationSnapshot> configuration;
   private final KeyedRequests keyed;
-  private final Map<String, RetryBudget> budgets = new HashMap<>();
-  private final Map<String, Limit> limits = new HashMap<>();
-  private final Map<String, Uni<PeerResponse>> carried =
+  private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
+  private final Map<String, CallerLimit> callerLimits = new HashMap<>();
+  private final Map<String, Uni<PeerResponse>> forwardedCalls =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Uni<PeerResponse>> eldest) {
-          return size() > MOST_CARRIED_REMEMBERED;
+          return size() > MAX_REMEMBERED_FORWARDED_CALLS;
         }
       };
   private int inProgress;
   private boolean stopping;
 
-  /** Creates the service over the configuration in force. */
+  /**
+   * Creates the service.
+   *
+   * @param configuration supplies the current configuration
+   * @param alive supplies the live nodes
+   */
   public RequestService(
       NodeContext context,
       ServiceDirectory servers,
@@ -85,44 +90,44 @@
     this.keyed = new KeyedRequests(context, alive, this::attempt);
   }
 
-  /** Begins to look after the streams of intents. */
+  /** Starts the periodic closing of idle intent streams. */
   public void start() {
-    context.timers().every(IDLE_CHECK_MILLIS, keyed::closeIdle);
+    context.timers().every(IDLE_CHECK_INTERVAL_MILLIS, keyed::closeIdle);
   }
 
-  /** Takes no new requests from now on. */
+  /** Stops accepting new requests. */
   public void stopAccepting() {
     stopping = true;
   }
 
-  /** Requests that are being carried. */
+  /** Returns the number of requests in progress. */
   public int inProgress() {
     return inProgress;
   }
 
-  /** Carries one request; never fails. */
+  /** Executes a request; the result never fails but always holds an outcome. */
   public Uni<RequestOutcome> call(CallerRequest caller) {
     ServiceSettings settings = configuration.get().services().get(caller.service());
     Optional<RequestOutcome> refusal = admit(caller, settings);
     if (refusal.isPresent()) {
-      return Uni.createFrom().item(refusal.get()).invoke(this::count);
+      return Uni.createFrom().item(refusal.get()).invoke(this::countOutcome);
     }
     inProgress++;
-    long limit =
+    long timeoutMillis =
         caller.deadlineMillis() <= 0
             ? settings.deadlineMillis()
             : Math.min(caller.deadlineMillis(), settings.deadlineMillis());
     RequestCall call =
-        new RequestCall(caller, settings, context.timers().nowMillis() + limit, false);
-    Uni<RequestOutcome> outcome = call.needsIntent() ? keyed.carry(call) : attempt(call);
+        new RequestCall(caller, settings, context.timers().nowMillis() + timeoutMillis, false);
+    Uni<RequestOutcome> outcome = call.needsIntent() ? keyed.execute(call) : attempt(call);
     return outcome.invoke(
         result -> {
           inProgress--;
-          count(result);
+          countOutcome(result);
         });
   }
 
-  private void count(RequestOutcome outcome) {
+  private void countOutcome(RequestOutcome outcome) {
     if (outcome instanceof RequestOutcome.Answered) {
       context.metrics().requestsAnswered.increment();
     } else if (outcome instanceof RequestOutcome.RefusedNotRun) {
@@ -137,31 +142,32 @@
       return refuse("no service " + caller.service() + " in the configuration", 0);
     }
     if (stopping) {
-      return refuse("this node is stopping", NO_SERVER_RETRY_MILLIS);
+      return refuse("this node is stopping", NO_SERVER_RETRY_AFTER_MILLIS);
     }
-    long wait = limitFor(caller.caller());
-    if (wait > 0) {
-      return refuse("over the limit of caller " + caller.caller(), wait);
+    long waitMillis = acquireCallerPermit(caller.caller());
+    if (waitMillis > 0) {
+      return refuse("over the limit of caller " + caller.caller(), waitMillis);
     }
     List<ServiceView> views = servers.views(settings.serverGroup());
     int outstanding = views.stream().mapToInt(ServiceView::outstanding).sum();
-    if (!views.isEmpty() && outstanding >= views.size() * MOST_OUTSTANDING_PER_SERVER) {
-      return refuse("the service is full", OVERLOAD_RETRY_MILLIS);
+    if (!views.isEmpty() && outstanding >= views.size() * MAX_OUTSTANDING_PER_SERVER) {
+      return refuse("the service is full", OVERLOAD_RETRY_AFTER_MILLIS);
     }
     return Optional.empty();
   }
 
-  private long limitFor(String caller) {
+  private long acquireCallerPermit(String caller) {
     CallerSettings settings = configuration.get().callers().get(caller);
     if (settings == null) {
       return 0;
     }
     long now = context.timers().nowMillis();
-    Limit limit = limits.get(caller);
+    CallerLimit limit = callerLimits.get(caller);
     if (limit == null || !limit.settings().equals(settings)) {
       limit =
-          new Limit(settings, new RateLimiter(settings.requestsPerSecond(), settings.burst(), now));
-      limits.put(caller, limit);
+          new CallerLimit(
+              settings, new RateLimiter(settings.requestsPerSecond(), settings.burst(), now));
+      callerLimits.put(caller, limit);
     }
     return limit.limiter().acquire(now);
   }
@@ -171,14 +177,15 @@
   }
 
   /**
-   * Carries a request for a node that took it from its caller; a copy gets the answer of the first.
+   * Executes a request that another node forwarded. A duplicate of the message gets the same
+   * response.
    */
-  public Uni<PeerResponse> onCarry(PeerRequest.CarryRequest message) {
-    return carried.computeIfAbsent(
-        message.callId(), id -> carryFor(message).memoize().indefinitely());
+  public Uni<PeerResponse> onForwardedRequest(PeerRequest.CarryRequest message) {
+    return forwardedCalls.computeIfAbsent(
+        message.callId(), id -> executeForwarded(message).memoize().indefinitely());
   }
 
-  private Uni<PeerResponse> carryFor(PeerRequest.CarryRequest message) {
+  private Uni<PeerResponse> executeForwarded(PeerRequest.CarryRequest message) {
     ServiceSettings settings = configuration.get().services().get(message.service());
     if (settings == null || stopping) {
       return Uni.createFrom().item(new PeerResponse.Refused("not here"));
@@ -194,41 +201,46 @@
             true);
     inProgress++;
     return keyed
-        .carry(call)
+        .execute(call)
         .map(
             outcome -> {
               inProgress--;
-              return CarriedOutcome.toMessage(outcome);
+              return RequestOutcomeCodec.toMessage(outcome);
             });
   }
 
   private Uni<RequestOutcome> attempt(RequestCall call) {
-    budget(call).onRequest();
+    retryBudget(call).onRequest();
     return Uni.createFrom().emitter(emitter -> servers.whenCurrent(() -> attempt(call, emitter)));
   }
 
   private void attempt(RequestCall call, UniEmitter<? super RequestOutcome> emitter) {
-    long left = call.left(context);
-    if (left <= 0) {
-      emitter.complete(call.unsent());
+    long remainingMillis = call.remainingMillis(context);
+    if (remainingMillis <= 0) {
+      emitter.complete(call.noResponseOutcome());
       return;
     }
     Optional<ServiceView> server =
         ServicePicker.pick(
-            servers.views(call.settings.serverGroup()), context.settings().zone(), call.tried);
+            servers.views(call.settings.serverGroup()),
+            context.settings().zone(),
+            call.triedServers);
     if (server.isEmpty()) {
-      emitter.complete(call.unsent());
+      emitter.complete(call.noResponseOutcome());
       return;
     }
     ServerId id = server.get().id();
-    call.tried.add(id);
+    call.triedServers.add(id);
     servers.onRequestStarted(id);
-    long limit = attemptLimit(call, left);
+    long timeoutMillis = attemptTimeoutMillis(call, remainingMillis);
     Uni<Response> sent =
-        context.platform().services().call(server.get().address(), call.caller.request(), limit);
+        context
+            .platform()
+            .services()
+            .call(server.get().address(), call.caller.request(), timeoutMillis);
     context
         .timers()
-        .withTimeout(sent, limit, "request")
+        .withTimeout(sent, timeoutMillis, "request")
         .subscribe()
         .with(
             response -> {
@@ -239,15 +251,16 @@
   }
 
   /**
-   * Time for one attempt. A repeatable request leaves time for a retry elsewhere, so that a server
-   * that hangs does not cost its caller the whole deadline; without a retry to spend it waits to
-   * the end.
+   * Returns the timeout of one attempt. A request that may be retried keeps time for a retry on
+   * another server, in case the first one hangs; any other request uses all the remaining time.
    */
-  private long attemptLimit(RequestCall call, long leftMillis) {
-    boolean mayRetry = call.requestClass == RequestClass.REPEATABLE && budget(call).hasRetry();
+  private long attemptTimeoutMillis(RequestCall call, long remainingMillis) {
+    boolean mayRetry = call.requestClass == RequestClass.REPEATABLE && retryBudget(call).hasRetry();
     return mayRetry
-        ? Math.min(leftMillis, Math.max(LEAST_ATTEMPT_MILLIS, leftMillis / ATTEMPT_SHARE))
-        : leftMillis;
+        ? Math.min(
+            remainingMillis,
+            Math.max(MIN_ATTEMPT_TIMEOUT_MILLIS, remainingMillis / ATTEMPT_TIMEOUT_DIVISOR))
+        : remainingMillis;
   }
 
   private void onFailure(
@@ -256,28 +269,29 @@
       ServerId server,
       PlatformException failure) {
     boolean notRun = failure.kind() == PlatformException.Kind.NOT_RUN;
-    boolean saidSo = notRun && failure.getCause() == null;
-    if (saidSo) {
+    boolean refusedByServer = notRun && failure.getCause() == null;
+    if (refusedByServer) {
       servers.onRequestRejected(server);
     } else {
       servers.onRequestFailed(server);
     }
     call.mayHaveRun |= !notRun;
     boolean repeatable = notRun || call.requestClass == RequestClass.REPEATABLE;
-    boolean free = saidSo && call.tried.size() == 1;
-    if (repeatable && (free || budget(call).trySpend())) {
+    boolean isFreeRetry = refusedByServer && call.triedServers.size() == 1;
+    if (repeatable && (isFreeRetry || retryBudget(call).trySpend())) {
       context.metrics().requestsRetried.increment();
       attempt(call, emitter);
       return;
     }
-    emitter.complete(call.unsent());
+    emitter.complete(call.noResponseOutcome());
   }
 
-  private RetryBudget budget(RequestCall call) {
-    return budgets.computeIfAbsent(
+  private RetryBudget retryBudget(RequestCall call) {
+    return retryBudgets.computeIfAbsent(
         call.caller.service(),
-        ignored -> new RetryBudget(RETRY_PARTS_PER_REQUEST, MOST_RETRIES_SAVED));
+        ignored -> new RetryBudget(RETRY_PARTS_PER_REQUEST, MAX_SAVED_RETRIES));
   }
 
-  private record Limit(CallerSettings settings, RateLimiter limiter) {}
+  /** A caller's rate limiter and the settings from which it was created. */
+  private record CallerLimit(CallerSettings settings, RateLimiter limiter) {}
 }
--- a/node/src/main/java/org/passhaven/node/request/package-info.java
+++ b/node/src/main/java/org/passhaven/node/request/package-info.java
@@ -1,2 +1,2 @@
-/** The way of a caller's request to a back end and back. */
+/** Routes callers' requests to service back ends: admission, retries and idempotency keys. */
 package org.passhaven.node.request;
--- a/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
+++ b/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
@@ -15,29 +15,33 @@
 import org.passhaven.spi.EngineService;
 
 /**
- * Runs generations on engines and tells what becomes of them. After {@link #cancelAll} or a cancel
- * nothing more is told of an attempt.
+ * Runs generation attempts on engines and reports their results to a listener. A cancelled attempt
+ * is not reported any more.
  */
 final class GenerationRunner {
-  private static final long STALL_LIMIT_MILLIS = 120_000;
-  private static final long STALL_LIMIT_SILENT_ENGINE_MILLIS = 3_000;
+  private static final long STALL_TIMEOUT_MILLIS = 120_000;
+  private static final long UNRESPONSIVE_ENGINE_STALL_TIMEOUT_MILLIS = 3_000;
 
-  /** Hears what becomes of attempts. */
+  /** Receives the tokens and the outcome of attempts. */
   interface Listener {
-    /** New tokens; returns false if the attempt is no longer wanted. */
+    /** Accepts new tokens; returns false if the attempt should be cancelled. */
     boolean onSegment(AttemptId attempt, Segment segment);
 
-    /** The sample is whole. */
+    /** Called when the attempt has generated the complete sample. */
     void onGenerated(AttemptId attempt);
 
-    /** The attempt failed; {@code keepTokens} if those so far are truthful. */
+    /**
+     * Called when the attempt failed.
+     *
+     * @param keepTokens whether the tokens received so far are valid and may be kept
+     */
     void onFailed(AttemptId attempt, boolean keepTokens);
   }
 
   private final NodeContext context;
   private final EngineDirectory engines;
   private final Listener listener;
-  private final Map<AttemptId, Running> running = new HashMap<>();
+  private final Map<AttemptId, RunningAttempt> running = new HashMap<>();
 
   GenerationRunner(NodeContext context, EngineDirectory engines, Listener listener) {
     this.context = Objects.requireNonNull(context, "context");
@@ -45,8 +49,8 @@
     this.listener = Objects.requireNonNull(listener, "listener");
   }
 
-  /** Begins a generation; {@code requestId} is unique over all owners and attempts. */
-  void begin(RunAction.Generate generate, String requestId, String model) {
+  /** Starts a generation; {@code requestId} must be unique across all owners and attempts. */
+  void start(RunAction.Generate generate, String requestId, String model) {
     AttemptId attempt = generate.attempt();
     EngineService.GenerationRequest request =
         new EngineService.GenerationRequest(
@@ -56,11 +60,11 @@
             generate.prompt().seed() + generate.sampleIndex(),
             EngineService.tokensOf(generate.prefix()),
             generate.priority());
-    Running entry = new Running(generate.engine().id(), context.timers().nowMillis());
+    RunningAttempt entry = new RunningAttempt(generate.engine().id(), context.timers().nowMillis());
     running.put(attempt, entry);
     engines.onGenerationStarted(entry.engine);
     context.metrics().generationsBegun.increment();
-    entry.stop =
+    entry.subscription =
         context
             .platform()
             .engines()
@@ -73,18 +77,18 @@
   }
 
   private void onSegment(AttemptId attempt, Segment segment) {
-    Running entry = running.get(attempt);
+    RunningAttempt entry = running.get(attempt);
     if (entry == null) {
       return;
     }
     if (!entry.engine.equals(segment.engine())
         || !entry.acceptsIncarnation(segment.incarnation())) {
-      // Another engine or start answers under this stream: its versions can't be trusted.
+      // Another engine or incarnation responded on this stream: its version can't be trusted.
       cancel(attempt);
       listener.onFailed(attempt, false);
       return;
     }
-    entry.progressAtMillis = context.timers().nowMillis();
+    entry.lastProgressMillis = context.timers().nowMillis();
     engines.onVersionObserved(segment.engine(), segment.incarnation(), segment.version());
     if (!listener.onSegment(attempt, segment)) {
       cancel(attempt);
@@ -105,29 +109,29 @@
   }
 
   private boolean end(AttemptId attempt, boolean failed) {
-    Running entry = running.remove(attempt);
+    RunningAttempt entry = running.remove(attempt);
     if (entry != null) {
       engines.onGenerationEnded(entry.engine, failed);
     }
     return entry != null;
   }
 
-  /** A stream from an engine that stopped answering may hang for ever: its attempt fails. */
+  /** Fails the attempts whose engine has sent no tokens within the stall timeout. */
   void failStalled() {
     long now = context.timers().nowMillis();
     List<AttemptId> stalled = new ArrayList<>();
     running.forEach(
         (attempt, entry) -> {
-          long limit =
+          long timeoutMillis =
               engines.isAnswering(entry.engine)
-                  ? STALL_LIMIT_MILLIS
-                  : STALL_LIMIT_SILENT_ENGINE_MILLIS;
-          if (now - entry.progressAtMillis > limit) {
+                  ? STALL_TIMEOUT_MILLIS
+                  : UNRESPONSIVE_ENGINE_STALL_TIMEOUT_MILLIS;
+          if (now - entry.lastProgressMillis > timeoutMillis) {
             stalled.add(attempt);
           }
         });
     for (AttemptId attempt : stalled) {
-      Cancellable stop = running.get(attempt).stop;
+      Cancellable stop = running.get(attempt).subscription;
       onFailed(attempt);
       if (stop != null) {
         stop.cancel();
@@ -135,38 +139,39 @@
     }
   }
 
-  /** Stops an attempt; harmless if it has ended. */
+  /** Cancels an attempt; does nothing if it has ended. */
   void cancel(AttemptId attempt) {
-    Running entry = running.remove(attempt);
+    RunningAttempt entry = running.remove(attempt);
     if (entry != null) {
       stop(entry);
     }
   }
 
-  /** Stops all attempts. */
+  /** Cancels all attempts. */
   void cancelAll() {
-    List<Running> all = List.copyOf(running.values());
+    List<RunningAttempt> all = List.copyOf(running.values());
     running.clear();
     all.forEach(this::stop);
   }
 
-  private void stop(Running entry) {
+  private void stop(RunningAttempt entry) {
     engines.onGenerationEnded(entry.engine, false);
-    if (entry.stop != null) {
-      entry.stop.cancel();
+    if (entry.subscription != null) {
+      entry.subscription.cancel();
     }
   }
 
-  private static final class Running {
+  /** Represents an attempt in progress on an engine. */
+  private static final class RunningAttempt {
     private static final long NO_INCARNATION = Long.MIN_VALUE;
     final ServerId engine;
-    Cancellable stop;
-    long progressAtMillis;
+    Cancellable subscription;
+    long lastProgressMillis;
     private long incarnation = NO_INCARNATION;
 
-    Running(ServerId engine, long nowMillis) {
+    RunningAttempt(ServerId engine, long nowMillis) {
       this.engine = engine;
-      this.progressAtMillis = nowMillis;
+      this.lastProgressMillis = nowMillis;
     }
 
     boolean acceptsIncarnation(long reported) {
--- a/node/src/main/java/org/passhaven/node/run/OwnerClient.java
+++ b/node/src/main/java/org/passhaven/node/run/OwnerClient.java
@@ -16,28 +16,35 @@
 import org.passhaven.spi.PlatformException;
 
 /**
- * Finds the owner of a shard and sends it requests. All of them may be repeated: a step is
- * submitted once whatever happens, and a pull with the same cursor gives the same samples.
+ * Sends requests to the owner of a shard and retries until an owner responds. Retries are safe
+ * because the requests are idempotent: a step is submitted at most once, and a pull with the same
+ * cursor returns the same samples.
  */
 public final class OwnerClient {
-  private static final long RETRY_MILLIS = 200;
-  private static final long CALL_LIMIT_MILLIS = 3_000;
+  private static final long RETRY_DELAY_MILLIS = 200;
+  private static final long CALL_TIMEOUT_MILLIS = 3_000;
   private final NodeContext context;
   private final RunManager local;
-  private final Supplier<List<MemberState>> alive;
+  private final Supplier<List<MemberState>> liveNodes;
   private final Map<ShardId, String> lastOwner = new HashMap<>();
 
-  /** Creates a client; requests to this node itself go to {@code local}. */
+  /**
+   * Creates a client.
+   *
+   * @param local handles requests whose owner is this node
+   * @param alive supplies the live nodes
+   */
   public OwnerClient(NodeContext context, RunManager local, Supplier<List<MemberState>> alive) {
     this.context = Objects.requireNonNull(context, "context");
     this.local = Objects.requireNonNull(local, "local");
-    this.alive = Objects.requireNonNull(alive, "alive");
+    this.liveNodes = Objects.requireNonNull(alive, "alive");
   }
 
   /**
-   * Sends a request until an owner answers it or the time is up.
+   * Sends a request and retries until an owner responds or the time limit expires.
    *
-   * @param holdMillis how long the owner may hold the request before it answers
+   * @param limitMillis time limit for getting a response, retries included
+   * @param holdMillis how long the owner may hold the request before it responds
    */
   public Uni<PeerResponse> send(PeerRequest.ToOwner request, long limitMillis, long holdMillis) {
     long deadline = context.timers().nowMillis() + limitMillis;
@@ -45,71 +52,78 @@
         .emitter(emitter -> attempt(new Call(request, deadline, holdMillis, emitter), 0));
   }
 
-  private void attempt(Call call, int tries) {
-    String address = addressFor(call.request.shard(), tries);
-    long left = call.deadlineMillis - context.timers().nowMillis();
-    if (left <= 0) {
+  private void attempt(Call call, int attempts) {
+    String address = addressFor(call.request.shard(), attempts);
+    long remainingMillis = call.deadlineMillis - context.timers().nowMillis();
+    if (remainingMillis <= 0) {
       call.emitter.fail(
           new PlatformException(
               PlatformException.Kind.OUTCOME_UNKNOWN,
               "no owner of " + call.request.shard() + " answered"));
       return;
     }
-    long limit = Math.min(left + call.holdMillis, call.holdMillis + CALL_LIMIT_MILLIS);
+    long timeoutMillis =
+        Math.min(remainingMillis + call.holdMillis, call.holdMillis + CALL_TIMEOUT_MILLIS);
     context
         .timers()
-        .withTimeout(dispatch(address, call.request, limit), limit, "owner")
+        .withTimeout(dispatch(address, call.request, timeoutMillis), timeoutMillis, "owner")
         .subscribe()
         .with(
-            response -> onAnswer(call, tries, address, response),
+            response -> onResponse(call, attempts, address, response),
             failure -> {
               lastOwner.remove(call.request.shard());
-              retry(call, tries);
+              retry(call, attempts);
             });
   }
 
-  private Uni<PeerResponse> dispatch(String address, PeerRequest.ToOwner request, long limit) {
+  private Uni<PeerResponse> dispatch(
+      String address, PeerRequest.ToOwner request, long timeoutMillis) {
     if (address.equals(context.settings().address())) {
       return local.onRequest(request);
     }
     context.metrics().peerMessages.increment();
-    return context.platform().peers().call(address, request, limit);
+    return context.platform().peers().call(address, request, timeoutMillis);
   }
 
-  private void onAnswer(Call call, int tries, String address, PeerResponse response) {
+  private void onResponse(Call call, int attempts, String address, PeerResponse response) {
     ShardId shard = call.request.shard();
     if (!(response instanceof PeerResponse.NotOwner notOwner)) {
       lastOwner.put(shard, address);
       call.emitter.complete(response);
       return;
     }
-    boolean hint = !notOwner.ownerAddress().isEmpty() && !notOwner.ownerAddress().equals(address);
-    if (hint && tries == 0) {
+    boolean isRedirect =
+        !notOwner.ownerAddress().isEmpty() && !notOwner.ownerAddress().equals(address);
+    if (isRedirect && attempts == 0) {
       lastOwner.put(shard, notOwner.ownerAddress());
-      attempt(call, tries + 1);
+      attempt(call, attempts + 1);
       return;
     }
     lastOwner.remove(shard);
-    retry(call, tries);
+    retry(call, attempts);
   }
 
-  private void retry(Call call, int tries) {
-    context.timers().after(tries == 0 ? 1 : RETRY_MILLIS, () -> attempt(call, tries + 1));
+  private void retry(Call call, int attempts) {
+    context
+        .timers()
+        .after(attempts == 0 ? 1 : RETRY_DELAY_MILLIS, () -> attempt(call, attempts + 1));
   }
 
-  private String addressFor(ShardId shard, int tries) {
+  private String addressFor(ShardId shard, int attempts) {
     String known = lastOwner.get(shard);
     if (known != null) {
       return known;
     }
     List<MemberState> candidates =
         new ArrayList<>(
-            ShardPlacement.candidates(shard, alive.get(), context.settings().candidatesPerShard()));
+            ShardPlacement.candidates(
+                shard, liveNodes.get(), context.settings().candidatesPerShard()));
     return candidates.isEmpty()
         ? context.settings().address()
-        : candidates.get(tries % candidates.size()).address();
+        : candidates.get(attempts % candidates.size()).address();
   }
 
+  /** A request that waits for the owner's response. */
   private record Call(
       PeerRequest.ToOwner request,
       long deadlineMillis,
--- a/node/src/main/java/org/passhaven/node/run/PullQueue.java
+++ b/node/src/main/java/org/passhaven/node/run/PullQueue.java
@@ -11,7 +11,7 @@
 import org.passhaven.protocol.PeerResponse;
 import org.passhaven.spi.Timers;
 
-/** Pulls that wait for samples. */
+/** Holds trainers' pull requests until samples are available or their wait time expires. */
 final class PullQueue {
   private record Pending(PullSamples request, UniEmitter<? super PeerResponse> emitter) {}
 
@@ -22,8 +22,8 @@
     this.timers = Objects.requireNonNull(timers, "timers");
   }
 
-  /** Waits for samples; gives {@code none} if the time of the pull is up. */
-  Uni<PeerResponse> await(PullSamples request, Function<PullSamples, PeerResponse> none) {
+  /** Queues a pull; responds with the result of {@code onTimeout} when its wait time expires. */
+  Uni<PeerResponse> await(PullSamples request, Function<PullSamples, PeerResponse> onTimeout) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
@@ -33,30 +33,30 @@
                   request.waitMillis(),
                   () -> {
                     if (waiting.remove(pending)) {
-                      emitter.complete(none.apply(request));
+                      emitter.complete(onTimeout.apply(request));
                     }
                   });
             });
   }
 
-  /** Answers all pulls for which there is something now. */
-  void serve(Function<PullSamples, Optional<PeerResponse>> answerTo) {
+  /** Responds to each queued pull for which {@code responseTo} has a result. */
+  void respondToReady(Function<PullSamples, Optional<PeerResponse>> responseTo) {
     for (Pending pending : List.copyOf(waiting)) {
-      answerTo
+      responseTo
           .apply(pending.request())
           .ifPresent(
-              answer -> {
+              response -> {
                 if (waiting.remove(pending)) {
-                  pending.emitter().complete(answer);
+                  pending.emitter().complete(response);
                 }
               });
     }
   }
 
-  /** Answers all pulls with the same answer. */
-  void answerAll(PeerResponse answer) {
+  /** Responds to all queued pulls with the same response. */
+  void respondToAll(PeerResponse response) {
     List<Pending> all = List.copyOf(waiting);
     waiting.clear();
-    all.forEach(pending -> pending.emitter().complete(answer));
+    all.forEach(pending -> pending.emitter().complete(response));
   }
 }
--- a/node/src/main/java/org/passhaven/node/run/RolloutService.java
+++ b/node/src/main/java/org/passhaven/node/run/RolloutService.java
@@ -14,26 +14,29 @@
 import org.passhaven.protocol.ShardId;
 import org.passhaven.spi.PlatformException;
 
-/** What trainers ask for, over all shards of their run. */
+/**
+ * Handles trainers' requests by sending them to the owners of all shards of the run and merging the
+ * responses.
+ */
 public final class RolloutService {
-  /** A trainer's request that can't be served as it is. */
+  /** Thrown when a trainer's request is invalid or was refused by a shard's owner. */
   public static final class RolloutException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the error. */
+    /** Creates the exception. */
     public RolloutException(String message) {
       super(message);
     }
   }
 
   /**
-   * Samples after a cursor.
+   * Represents the samples that a pull returned.
    *
-   * @param cursor cursor after these samples: one position for each shard
-   * @param total samples in the step
+   * @param cursor position in each shard after these samples, to be passed to the next pull
+   * @param total number of samples in the step
    */
   public record PullResult(List<Sample> samples, List<Long> cursor, int total) {
-    /** Whether the cursor is past the last sample. */
+    /** Returns whether the cursor is past the last sample of the step. */
     public boolean isComplete() {
       return cursor.stream().mapToLong(Long::longValue).sum() >= total;
     }
@@ -42,41 +45,42 @@
   private final OwnerClient owners;
   private final Supplier<ConfigurationSnapshot> configuration;
 
-  /** Creates the service over the configuration in force. */
+  /** Creates the service; {@code configuration} supplies the current configuration. */
   public RolloutService(OwnerClient owners, Supplier<ConfigurationSnapshot> configuration) {
     this.owners = Objects.requireNonNull(owners, "owners");
     this.configuration = Objects.requireNonNull(configuration, "configuration");
   }
 
-  /** Submits a step; repeating it is harmless. Durable once it gives a result. */
+  /** Submits a step. Idempotent; completes when the step is durable on all shards. */
   public Uni<Void> submit(
       String trainer, long step, List<Prompt> prompts, int samplesPerPrompt, long limitMillis) {
     int shards = settings(trainer).shards();
-    List<Uni<PeerResponse>> parts = new ArrayList<>();
+    List<Uni<PeerResponse>> calls = new ArrayList<>();
     for (int index = 0; index < shards; index++) {
       int shard = index;
       List<Prompt> part =
           prompts.stream().filter(prompt -> prompt.index() % shards == shard).toList();
-      parts.add(
+      calls.add(
           owners.send(
               new PeerRequest.SubmitStep(new ShardId(trainer, shard), step, part, samplesPerPrompt),
               limitMillis,
               0));
     }
-    return all(parts).invoke(RolloutService::failIfRefused).replaceWithVoid();
+    return joinAll(calls).invoke(RolloutService::failIfRefused).replaceWithVoid();
   }
 
   /**
-   * Gives the samples after a cursor; waits up to {@code waitMillis} for a first one.
+   * Returns the samples after a cursor; waits up to {@code waitMillis} if there are none.
    *
-   * @param cursor one position for each shard; empty for the start
+   * @param cursor position in each shard; empty to start at the first sample
+   * @param maxSamples maximum number of samples per shard
    */
   public Uni<PullResult> pull(
       String trainer,
       long step,
       List<Long> cursor,
       long trainerVersion,
-      int most,
+      int maxSamples,
       long waitMillis,
       long limitMillis) {
     int shards = settings(trainer).shards();
@@ -84,30 +88,30 @@
     if (from.size() != shards) {
       throw new RolloutException("the cursor must have " + shards + " positions");
     }
-    List<Uni<PeerResponse>> parts = new ArrayList<>();
+    List<Uni<PeerResponse>> calls = new ArrayList<>();
     for (int index = 0; index < shards; index++) {
-      parts.add(
+      calls.add(
           owners.send(
               new PeerRequest.PullSamples(
                   new ShardId(trainer, index),
                   step,
                   from.get(index),
                   trainerVersion,
-                  most,
+                  maxSamples,
                   waitMillis),
               limitMillis,
               waitMillis));
     }
-    return all(parts).map(answers -> merge(from, answers));
+    return joinAll(calls).map(responses -> merge(from, responses));
   }
 
-  private static PullResult merge(List<Long> from, List<PeerResponse> answers) {
-    failIfRefused(answers);
+  private static PullResult merge(List<Long> from, List<PeerResponse> responses) {
+    failIfRefused(responses);
     List<Sample> samples = new ArrayList<>();
     List<Long> cursor = new ArrayList<>();
     int total = 0;
-    for (int index = 0; index < answers.size(); index++) {
-      PeerResponse.Samples part = (PeerResponse.Samples) answers.get(index);
+    for (int index = 0; index < responses.size(); index++) {
+      PeerResponse.Samples part = (PeerResponse.Samples) responses.get(index);
       samples.addAll(part.samples());
       cursor.add(from.get(index) + part.samples().size());
       total += part.slots();
@@ -115,25 +119,26 @@
     return new PullResult(samples, cursor, total);
   }
 
-  /** States the trainer's current weight version. */
+  /** Reports the trainer's current weight version to all shards. */
   public Uni<Void> reportVersion(String trainer, long version, long limitMillis) {
-    return toAll(trainer, limitMillis, shard -> new PeerRequest.StateVersion(shard, version));
+    return sendToAllShards(
+        trainer, limitMillis, shard -> new PeerRequest.StateVersion(shard, version));
   }
 
-  /** Ends a run. */
+  /** Ends the run on all shards. */
   public Uni<Void> end(String trainer, long limitMillis) {
-    return toAll(trainer, limitMillis, PeerRequest.EndRun::new);
+    return sendToAllShards(trainer, limitMillis, PeerRequest.EndRun::new);
   }
 
-  private Uni<Void> toAll(
+  private Uni<Void> sendToAllShards(
       String trainer,
       long limitMillis,
       java.util.function.Function<ShardId, PeerRequest.ToOwner> request) {
-    List<Uni<PeerResponse>> parts = new ArrayList<>();
+    List<Uni<PeerResponse>> calls = new ArrayList<>();
     for (int index = 0; index < settings(trainer).shards(); index++) {
-      parts.add(owners.send(request.apply(new ShardId(trainer, index)), limitMillis, 0));
+      calls.add(owners.send(request.apply(new ShardId(trainer, index)), limitMillis, 0));
     }
-    return all(parts).invoke(RolloutService::failIfRefused).replaceWithVoid();
+    return joinAll(calls).invoke(RolloutService::failIfRefused).replaceWithVoid();
   }
 
   private TrainerSettings settings(String trainer) {
@@ -144,16 +149,16 @@
     return settings;
   }
 
-  private static Uni<List<PeerResponse>> all(List<Uni<PeerResponse>> parts) {
-    return Uni.join().all(parts).andFailFast();
+  private static Uni<List<PeerResponse>> joinAll(List<Uni<PeerResponse>> calls) {
+    return Uni.join().all(calls).andFailFast();
   }
 
-  private static void failIfRefused(List<PeerResponse> answers) {
-    for (PeerResponse answer : answers) {
-      if (answer instanceof PeerResponse.Refused refused) {
+  private static void failIfRefused(List<PeerResponse> responses) {
+    for (PeerResponse response : responses) {
+      if (response instanceof PeerResponse.Refused refused) {
         throw new RolloutException(refused.reason());
       }
-      if (answer instanceof PeerResponse.NotOwner) {
+      if (response instanceof PeerResponse.NotOwner) {
         throw new PlatformException(PlatformException.Kind.NOT_RUN, "the owner changed");
       }
     }
--- a/node/src/main/java/org/passhaven/node/run/RunAgent.java
+++ b/node/src/main/java/org/passhaven/node/run/RunAgent.java
@@ -33,43 +33,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves one shard at one of its candidate nodes: follows the shard's stream, claims the lease when
- * it is free, and as its owner carries out the decisions of a {@link RunCoordinator}.
+ * Manages one shard on one of its candidate nodes: reads the shard's stream, claims the lease when
+ * it is free, and while this node is the owner, executes the actions of a {@link RunCoordinator}.
  *
- * <p>Hand-over does not depend on the lease's clock: a slot's position is fixed by the first valid
- * commit in the log, and only samples whose commit was read back are handed over, so an owner that
- * was succeeded without knowing it hands over nothing that its successor places elsewhere.
+ * <p>The delivery of samples does not depend on the lease's clock: the first valid commit in the
+ * log fixes a slot's position, and only samples whose commit was read back are delivered. An owner
+ * that has been superseded without noticing can therefore not deliver samples that conflict with
+ * those of the new owner.
  */
 public final class RunAgent implements StreamListener {
   private static final Logger LOG = LoggerFactory.getLogger(RunAgent.class);
-  private static final int SNAPSHOT_EVERY_RECORDS = 400;
-  private static final long READ_WAIT_MILLIS = 2_000;
-  private static final long RANK_WAIT_MILLIS = 500;
+  private static final int SNAPSHOT_INTERVAL_RECORDS = 400;
+  private static final long MAX_READ_WAIT_MILLIS = 2_000;
+  private static final long CLAIM_DELAY_PER_RANK_MILLIS = 500;
   private final NodeContext context;
   private final ShardId shard;
   private final EngineDirectory engines;
   private final SampleScorer scorer;
   private final StreamClient stream;
   private final LeaseState lease;
-  private long clockGapsSeen;
+  private long lastClockJumpCount;
   private final GenerationRunner generations;
   private final PullQueue pulls;
-  private final Set<Long> finishing = new HashSet<>();
+  private final Set<Long> stepsBeingFinished = new HashSet<>();
   private RunState state = new RunState();
   private ConfigurationSnapshot configuration;
   private RunCoordinator coordinator;
-  private VersionOrders orders;
-  private Timers.Timer ticking;
+  private VersionOrderSender versionOrders;
+  private Timers.Timer tickTimer;
   private int rank;
   private boolean claiming;
   private boolean renewing;
   private long lastRenewalMillis = Long.MIN_VALUE / 2;
-  private long versionBeingStated;
+  private long versionBeingReported;
   private int recordsSinceSnapshot;
   private boolean stopping;
   private boolean closed;
 
-  /** Creates the agent; {@link #start} begins to follow the stream. */
+  /** Creates the agent; call {@link #start} to start reading the stream. */
   public RunAgent(
       NodeContext context,
       ShardId shard,
@@ -81,27 +82,31 @@
     this.configuration = Objects.requireNonNull(configuration, "configuration");
     this.engines = Objects.requireNonNull(engines, "engines");
     this.scorer = Objects.requireNonNull(scorer, "scorer");
-    this.stream = new StreamClient(context, shard.stream(), this, READ_WAIT_MILLIS);
+    this.stream = new StreamClient(context, shard.stream(), this, MAX_READ_WAIT_MILLIS);
     this.lease = new LeaseState(context.settings().lease(), context.timers().nowMillis());
-    this.clockGapsSeen = context.timers().clockJumps().count();
+    this.lastClockJumpCount = context.timers().clockJumps().count();
     this.generations = new GenerationRunner(context, engines, new GenerationListener());
     this.pulls = new PullQueue(context.timers());
   }
 
-  /** Begins to follow the stream. */
+  /** Starts reading the stream. */
   public void start() {
     stream.start();
-    ticking = context.timers().every(context.settings().decisionInterval().toMillis(), this::tick);
+    tickTimer =
+        context.timers().every(context.settings().decisionInterval().toMillis(), this::tick);
   }
 
-  /** Place among the shard's candidates, from zero; later ones wait longer before they claim. */
+  /**
+   * Sets this node's rank among the shard's candidates, starting at zero. Candidates with a higher
+   * rank wait longer before they claim the lease.
+   */
   public void setRank(int newRank) {
     rank = newRank;
   }
 
   /**
-   * A new configuration came into force; one without this trainer ends the agent by {@link
-   * #release}.
+   * Applies a new configuration. Ignores one without this trainer: {@link #release} ends the agent
+   * in that case.
    */
   public void setConfiguration(ConfigurationSnapshot image) {
     TrainerSettings settings = image.trainers().get(shard.trainer());
@@ -114,17 +119,17 @@
     }
   }
 
-  /** Whether this node owns the shard. */
+  /** Returns whether this node owns the shard. */
   public boolean isOwner() {
     return coordinator != null;
   }
 
-  /** Peer address of the newest owner; empty if unknown. */
+  /** Returns the peer address of the last known owner, or an empty string if there is none. */
   public String ownerAddress() {
     return state.released() ? "" : state.ownerAddress();
   }
 
-  /** Gives the lease back and ends; gives a result once that is durable or nothing was held. */
+  /** Releases the lease, if held, and closes the agent. Completes when the release is durable. */
   public Uni<Void> release() {
     stopping = true;
     if (coordinator == null) {
@@ -137,11 +142,11 @@
         .replaceWithVoid();
   }
 
-  /** Ends at once; the lease lapses by itself. */
+  /** Closes the agent immediately; a lease held by this node expires. */
   public void close() {
     closed = true;
-    if (ticking != null) {
-      ticking.cancel();
+    if (tickTimer != null) {
+      tickTimer.cancel();
     }
     stepDown();
     stream.close();
@@ -169,7 +174,7 @@
         lease.onReleasedRead();
         stepDown();
       }
-      case APPLIED -> onFolded(sentAtMillis);
+      case APPLIED -> onApplied(sentAtMillis);
       case IGNORED -> {}
     }
     return effect != RunState.Effect.IGNORED;
@@ -177,7 +182,7 @@
 
   @Override
   public void onLogRecovered(long downMillis) {
-    // The holder could not renew either: it gets a whole term before anybody else may claim.
+    // The holder could not renew either: it gets a full term before another node may claim.
     if (downMillis > context.settings().lease().renewInterval().toMillis()) {
       lease.onLogRecovered(now());
     }
@@ -189,18 +194,18 @@
     if (isOwn && !closed) {
       coordinator =
           new RunCoordinator(state, state.epoch(), settings(), context.settings().dispatchPolicy());
-      orders = new VersionOrders(context, engines);
+      versionOrders = new VersionOrderSender(context, engines);
       lastRenewalMillis = now();
       context.metrics().leasesClaimed.increment();
       LOG.info("run: {} is owned here under epoch {}", shard, state.epoch());
     }
   }
 
-  private void onFolded(long sentAtMillis) {
+  private void onApplied(long sentAtMillis) {
     lease.onFencedRead(now(), sentAtMillis);
     if (coordinator != null) {
       coordinator.onStateChanged();
-      pulls.serve(this::tryPull);
+      pulls.respondToReady(this::tryPull);
     }
   }
 
@@ -209,9 +214,9 @@
       LOG.info("run: {} is no longer owned here", shard);
     }
     coordinator = null;
-    versionBeingStated = 0;
+    versionBeingReported = 0;
     generations.cancelAll();
-    pulls.answerAll(new PeerResponse.NotOwner(ownerAddress()));
+    pulls.respondToAll(new PeerResponse.NotOwner(ownerAddress()));
   }
 
   private void tick() {
@@ -223,19 +228,19 @@
       return;
     }
     renewIfDue();
-    carryOut(coordinator.cancelStaleGenerations());
+    execute(coordinator.cancelStaleGenerations());
     generations.failStalled();
     dispatch();
     commitReady();
     finishAbandoned();
     orderVersions();
     snapshotIfDue();
-    pulls.serve(this::tryPull);
+    pulls.respondToReady(this::tryPull);
   }
 
   private void claimIfFree() {
     boolean allowed = stream.isCaughtUp() && stream.hasReadRecently() && !stopping && !claiming;
-    if (!allowed || !lease.mayClaim(now(), rank * RANK_WAIT_MILLIS)) {
+    if (!allowed || !lease.mayClaim(now(), rank * CLAIM_DELAY_PER_RANK_MILLIS)) {
       return;
     }
     claiming = true;
@@ -265,7 +270,7 @@
     return configuration.trainers().get(shard.trainer());
   }
 
-  private EngineUse use() {
+  private EngineUse engineUse() {
     String group = configuration.engineGroupOf(shard.trainer()).orElse("");
     return new EngineUse(
         shard.toString(),
@@ -276,17 +281,17 @@
   }
 
   private void dispatch() {
-    EngineUse use = use();
+    EngineUse use = engineUse();
     engines.registerUse(use, this::isOwner);
     if (engines.isCurrent()) {
-      carryOut(coordinator.dispatch(engines.views(use), context.settings().zone(), now()));
+      execute(coordinator.dispatch(engines.views(use), context.settings().zone(), now()));
     }
   }
 
-  private void carryOut(List<RunAction> actions) {
+  private void execute(List<RunAction> actions) {
     for (RunAction action : actions) {
       if (action instanceof RunAction.Generate generate) {
-        generations.begin(generate, requestId(generate.attempt()), settings().model());
+        generations.start(generate, requestId(generate.attempt()), settings().model());
       } else if (action instanceof RunAction.Cancel cancel) {
         generations.cancel(cancel.attempt());
       } else if (action instanceof RunAction.Score score) {
@@ -308,13 +313,13 @@
   }
 
   private void score(RunAction.Score score) {
-    RunCoordinator asked = coordinator;
+    RunCoordinator requester = coordinator;
     scorer
         .score(settings().scorer(), score.sample())
         .subscribe()
         .with(
             value -> {
-              if (asked == coordinator && coordinator != null) {
+              if (requester == coordinator && coordinator != null) {
                 coordinator.onScored(score.attempt(), value);
               }
             });
@@ -324,28 +329,28 @@
     for (Optional<LogRecord> record = coordinator.commitReady();
         record.isPresent();
         record = coordinator.commitReady()) {
-      // A commit renews the lease as well.
+      // A commit also renews the lease.
       lastRenewalMillis = now();
       append(record.get());
     }
   }
 
-  /** A trainer's last word on a step may be lost; what it pulls later tells as much. */
+  /** Finishes steps whose last pull was lost: the trainer already pulls a later step. */
   private void finishAbandoned() {
     for (long step : coordinator.abandonedSteps()) {
-      if (finishing.add(step)) {
+      if (stepsBeingFinished.add(step)) {
         stream
             .append(new LogRecord.StepFinished(lease.epoch(), step))
             .subscribe()
-            .with(effective -> finishing.remove(step));
+            .with(effective -> stepsBeingFinished.remove(step));
       }
     }
   }
 
   private void orderVersions() {
     if (lease.mayAct(now())) {
-      orders.send(
-          engines.ownEngines(use()),
+      versionOrders.send(
+          engines.ownEngines(engineUse()),
           coordinator.enginesOfPulledStep(),
           settings().model(),
           coordinator.trainerVersion());
@@ -353,13 +358,13 @@
   }
 
   private void snapshotIfDue() {
-    if (recordsSinceSnapshot >= SNAPSHOT_EVERY_RECORDS && stream.isCaughtUp()) {
+    if (recordsSinceSnapshot >= SNAPSHOT_INTERVAL_RECORDS && stream.isCaughtUp()) {
       recordsSinceSnapshot = 0;
       stream.writeSnapshot(Codec.encode(state.toSnapshot()));
     }
   }
 
-  /** Serves a request that is for the owner. */
+  /** Handles a request to the owner of the shard. */
   public Uni<PeerResponse> onRequest(PeerRequest.ToOwner request) {
     if (coordinator == null) {
       return Uni.createFrom().item(new PeerResponse.NotOwner(ownerAddress()));
@@ -368,8 +373,8 @@
       return submit(submit);
     } else if (request instanceof PeerRequest.PullSamples pull) {
       return pull(pull);
-    } else if (request instanceof PeerRequest.StateVersion stated) {
-      return stateVersion(stated.version());
+    } else if (request instanceof PeerRequest.StateVersion report) {
+      return reportVersion(report.version());
     }
     return answerWhenDurable(new LogRecord.RunEnded(lease.epoch()));
   }
@@ -386,12 +391,12 @@
             lease.epoch(), submit.step(), submit.prompts(), submit.samplesPerPrompt()));
   }
 
-  private Uni<PeerResponse> stateVersion(long version) {
+  private Uni<PeerResponse> reportVersion(long version) {
     coordinator.onTrainerVersion(version, now());
-    if (version <= Math.max(state.trainerVersion(), versionBeingStated)) {
+    if (version <= Math.max(state.trainerVersion(), versionBeingReported)) {
       return Uni.createFrom().item(new PeerResponse.Done());
     }
-    versionBeingStated = version;
+    versionBeingReported = version;
     return answerWhenDurable(new LogRecord.TrainerVersionStated(lease.epoch(), version));
   }
 
@@ -408,10 +413,10 @@
   }
 
   private Uni<PeerResponse> pull(PeerRequest.PullSamples pull) {
-    stateVersion(pull.trainerVersion()).subscribe().with(ignored -> {});
-    Optional<PeerResponse> answer = tryPull(pull);
-    if (answer.isPresent() || pull.waitMillis() <= 0) {
-      return Uni.createFrom().item(answer.orElseGet(() -> noSamples(pull)));
+    reportVersion(pull.trainerVersion()).subscribe().with(ignored -> {});
+    Optional<PeerResponse> response = tryPull(pull);
+    if (response.isPresent() || pull.waitMillis() <= 0) {
+      return Uni.createFrom().item(response.orElseGet(() -> noSamples(pull)));
     }
     return pulls.await(pull, this::noSamples);
   }
@@ -443,18 +448,18 @@
         List.of(), step == null ? (int) pull.cursor() : step.slotCount());
   }
 
-  /** Asked before each act as holder: by then a suspension has ended the lease. */
+  /** Returns the current time; ends the lease first if the clock has jumped, as by a suspension. */
   private long now() {
     long now = context.timers().nowMillis();
-    long gaps = context.timers().clockJumps().count();
-    if (gaps != clockGapsSeen) {
-      clockGapsSeen = gaps;
+    long clockJumps = context.timers().clockJumps().count();
+    if (clockJumps != lastClockJumpCount) {
+      lastClockJumpCount = clockJumps;
       lease.onClockJump(now);
     }
     return now;
   }
 
-  /** Passes what becomes of generations on to the coordinator of the epoch that began them. */
+  /** Forwards the results of generations to the coordinator; ignores them if there is none. */
   private final class GenerationListener implements GenerationRunner.Listener {
     @Override
     public boolean onSegment(AttemptId attempt, Segment segment) {
@@ -464,7 +469,7 @@
     @Override
     public void onGenerated(AttemptId attempt) {
       if (coordinator != null) {
-        carryOut(coordinator.onGenerated(attempt));
+        execute(coordinator.onGenerated(attempt));
         dispatch();
       }
     }
--- a/node/src/main/java/org/passhaven/node/run/RunManager.java
+++ b/node/src/main/java/org/passhaven/node/run/RunManager.java
@@ -17,18 +17,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs a {@link RunAgent} for each shard that this node is a candidate of. */
+/** Manages a {@link RunAgent} for each shard of which this node is a candidate. */
 public final class RunManager {
   private static final Logger LOG = LoggerFactory.getLogger(RunManager.class);
   private final NodeContext context;
   private final EngineDirectory engines;
   private final SampleScorer scorer;
-  private final Supplier<List<MemberState>> alive;
+  private final Supplier<List<MemberState>> liveNodes;
   private final Map<ShardId, RunAgent> agents = new HashMap<>();
   private ConfigurationSnapshot configuration = ConfigurationSnapshot.EMPTY;
   private boolean stopping;
 
-  /** Creates the manager; {@code alive} gives the live nodes. */
+  /** Creates the manager; {@code alive} supplies the live nodes. */
   public RunManager(
       NodeContext context,
       EngineDirectory engines,
@@ -37,22 +37,22 @@
     this.context = Objects.requireNonNull(context, "context");
     this.engines = Objects.requireNonNull(engines, "engines");
     this.scorer = Objects.requireNonNull(scorer, "scorer");
-    this.alive = Objects.requireNonNull(alive, "alive");
+    this.liveNodes = Objects.requireNonNull(alive, "alive");
   }
 
-  /** A new configuration came into force. */
+  /** Applies a new configuration. */
   public void onConfiguration(ConfigurationSnapshot image) {
     configuration = image;
     agents.values().forEach(agent -> agent.setConfiguration(image));
-    place();
+    updateAgents();
   }
 
-  /** The set of live nodes changed. */
+  /** Starts and releases agents after the set of live nodes has changed. */
   public void onMembership() {
-    place();
+    updateAgents();
   }
 
-  /** Shards whose lease this node holds. */
+  /** Returns the shards whose lease this node holds. */
   public List<ShardId> ownedShards() {
     return agents.entrySet().stream()
         .filter(entry -> entry.getValue().isOwner())
@@ -60,16 +60,16 @@
         .toList();
   }
 
-  /** Number of shards that this node follows. */
+  /** Returns the number of shards whose stream this node reads. */
   public int followedShardCount() {
     return agents.size();
   }
 
-  private void place() {
+  private void updateAgents() {
     if (stopping) {
       return;
     }
-    List<MemberState> members = alive.get();
+    List<MemberState> members = liveNodes.get();
     Map<ShardId, Integer> ranks = new HashMap<>();
     configuration
         .trainers()
@@ -108,7 +108,7 @@
     return agent;
   }
 
-  /** Serves a request for a shard's owner. */
+  /** Handles a request to a shard's owner. */
   public Uni<PeerResponse> onRequest(PeerRequest.ToOwner request) {
     RunAgent agent = agents.get(request.shard());
     if (agent == null) {
@@ -117,7 +117,7 @@
     return agent.onRequest(request);
   }
 
-  /** Gives all leases back; gives a result once that is durable. */
+  /** Releases all leases; completes when the releases are durable. */
   public Uni<Void> stop() {
     stopping = true;
     List<Uni<Void>> releases = new ArrayList<>();
--- a/node/src/main/java/org/passhaven/node/run/SampleScorer.java
+++ b/node/src/main/java/org/passhaven/node/run/SampleScorer.java
@@ -3,8 +3,8 @@
 import io.smallrye.mutiny.Uni;
 import org.passhaven.protocol.Sample;
 
-/** Scores samples; retries until it has a score, so it gives one late rather than never. */
+/** Scores samples with a scoring service; retries until the service returns a score. */
 public interface SampleScorer {
-  /** Score of a sample by the named service. Cancel to give up. */
+  /** Returns the sample's score from the named service. Cancel the result to stop retrying. */
   Uni<Double> score(String service, Sample sample);
 }
--- a/node/src/main/java/org/passhaven/node/run/ServiceSampleScorer.java
+++ b/node/src/main/java/org/passhaven/node/run/ServiceSampleScorer.java
@@ -14,19 +14,21 @@
 import org.passhaven.spi.ServiceBackEnd;
 
 /**
- * Scores samples by a configured service: {@code POST /score} with the tokens, answered by a score.
+ * Scores samples with a configured service: sends a summary of the sample to {@code /score} and
+ * reads the field {@code score} of the response.
  */
 public final class ServiceSampleScorer implements SampleScorer {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final long RETRY_MILLIS = 500;
+  private static final long RETRY_DELAY_MILLIS = 500;
   private static final int STATUS_OK = 200;
 
+  /** The JSON body of a scoring request. */
   private record Body(int promptIndex, int sampleIndex, int tokens, long digest) {}
 
   private final NodeContext context;
   private final RequestService requests;
 
-  /** Creates a scorer over callers' request path. */
+  /** Creates a scorer that sends its requests through {@code requests}. */
   public ServiceSampleScorer(NodeContext context, RequestService requests) {
     this.context = Objects.requireNonNull(context, "context");
     this.requests = Objects.requireNonNull(requests, "requests");
@@ -49,18 +51,18 @@
                   && answered.response().status() == STATUS_OK) {
                 complete(answered.response().body(), service, body, emitter);
               } else {
-                context.timers().after(RETRY_MILLIS, () -> attempt(service, body, emitter));
+                context.timers().after(RETRY_DELAY_MILLIS, () -> attempt(service, body, emitter));
               }
             });
   }
 
   private void complete(
-      byte[] answer, String service, byte[] body, UniEmitter<? super Double> emitter) {
+      byte[] response, String service, byte[] body, UniEmitter<? super Double> emitter) {
     try {
-      JsonNode node = MAPPER.readTree(answer);
+      JsonNode node = MAPPER.readTree(response);
       emitter.complete(node.path("score").asDouble());
     } catch (IOException e) {
-      context.timers().after(RETRY_MILLIS, () -> attempt(service, body, emitter));
+      context.timers().after(RETRY_DELAY_MILLIS, () -> attempt(service, body, emitter));
     }
   }
 
--- a/node/src/main/java/org/passhaven/node/run/ShardPlacement.java
+++ b/node/src/main/java/org/passhaven/node/run/ShardPlacement.java
@@ -7,11 +7,11 @@
 import org.passhaven.protocol.MemberState;
 import org.passhaven.protocol.ShardId;
 
-/** Which live nodes are the candidates of a shard. */
+/** Selects the live nodes that are candidates for owning a shard. */
 final class ShardPlacement {
   private ShardPlacement() {}
 
-  /** Candidates in order, over as many zones as there are. */
+  /** Returns up to {@code count} candidates by rank, spread over the zones. */
   static List<MemberState> candidates(ShardId shard, List<MemberState> alive, int count) {
     List<Member> members =
         alive.stream().map(state -> new Member(state.node().value(), state.zone())).toList();
--- a/node/src/main/java/org/passhaven/node/run/VersionOrders.java
+++ b/node/src/main/java/org/passhaven/node/run/VersionOrderSender.java
@@ -12,21 +12,21 @@
 import org.passhaven.spi.EngineService.VersionOrder;
 
 /**
- * Orders the engines of one owner's part to the trainer's version. The version is also the fence:
- * it only grows, so an owner that was succeeded without knowing it can order nothing older.
+ * Orders the engines of one shard's owner to load the trainer's weight version. The version is also
+ * the fencing token: it only grows, so a superseded owner can't make an engine load an older one.
  */
-final class VersionOrders {
+final class VersionOrderSender {
   private final NodeContext context;
   private final EngineDirectory engines;
   private final VersionRollout rollout;
 
-  VersionOrders(NodeContext context, EngineDirectory engines) {
+  VersionOrderSender(NodeContext context, EngineDirectory engines) {
     this.context = Objects.requireNonNull(context, "context");
     this.engines = Objects.requireNonNull(engines, "engines");
     this.rollout = new VersionRollout(context.settings().maxConcurrentSwaps());
   }
 
-  /** Sends the orders that are due; engines in {@code awaited} come later. */
+  /** Sends the orders that are due; orders the engines in {@code awaited} last. */
   void send(Collection<EngineView> part, Set<ServerId> awaited, String model, long version) {
     for (EngineView engine : rollout.plan(part, awaited, version, context.timers().nowMillis())) {
       order(engine, new VersionOrder(model, version, version));
--- a/node/src/main/java/org/passhaven/node/run/package-info.java
+++ b/node/src/main/java/org/passhaven/node/run/package-info.java
@@ -1,2 +1,4 @@
-/** Serving runs: owners of shards, and the way from a trainer to them. */
+/**
+ * Executes trainers' runs: ownership of shards, and routing of trainers' requests to the owners.
+ */
 package org.passhaven.node.run;
