--- a/node/src/main/java/org/passhaven/node/ClockJumpDetectingTimers.java
+++ b/node/src/main/java/org/passhaven/node/ClockJumpDetectingTimers.java
@@ -8,16 +8,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Timers that compare the clocks each time the monotonic one is read, so that whoever asks the time
- * before it acts learns of a suspension before it acts. Two readings of clocks, some 50 ns.
+ * Timers that detect clock jumps: each read of the monotonic clock compares it with the time of
+ * day. A caller that reads the time before an action thus sees a suspension of the machine first.
  */
 public final class ClockJumpDetectingTimers implements Timers {
   private static final Logger LOG = LoggerFactory.getLogger(ClockJumpDetectingTimers.class);
   private final Timers timers;
-  private final ClockJumpDetector watch = new ClockJumpDetector();
-  private ClockJumps gaps = ClockJumps.NONE;
+  private final ClockJumpDetector clockWatch = new ClockJumpDetector();
+  private ClockJumps clockJumps = ClockJumps.NONE;
 
-  /** Watches the clocks of {@code timers}. */
+  /** Creates timers that delegate to {@code timers} and check its clocks. */
   public ClockJumpDetectingTimers(Timers timers) {
     this.timers = Objects.requireNonNull(timers, "timers");
   }
@@ -25,10 +25,11 @@
   @Override
   public long nowMillis() {
     long now = timers.nowMillis();
-    long gap = watch.check(now, timers.timeOfDayMillis());
-    if (gap != 0) {
-      gaps = new ClockJumps(gaps.count() + 1, gaps.lostMillis() + Math.max(0, gap));
-      LOG.atWarn().addKeyValue("gapMillis", gap).log("clock: the clocks have moved apart");
+    long jumpMillis = clockWatch.check(now, timers.timeOfDayMillis());
+    if (jumpMillis != 0) {
+      clockJumps =
+          new ClockJumps(clockJumps.count() + 1, clockJumps.lostMillis() + Math.max(0, jumpMillis));
+      LOG.atWarn().addKeyValue("gapMillis", jumpMillis).log("clock: the clocks have moved apart");
     }
     return now;
   }
@@ -40,7 +41,7 @@
 
   @Override
   public ClockJumps clockJumps() {
-    return gaps;
+    return clockJumps;
   }
 
   @Override
--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -23,20 +23,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One passhaven node without its sockets: the same code in the real process and in the simulator.
- * All calls on one thread.
+ * Assembles the components of one passhaven node, without its network server. The server process
+ * and the simulator both run this class. Not thread-safe: all calls must come from one thread.
  */
 public final class Node {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-  private static final long STOP_POLL_MILLIS = 50;
-  private static final long REVISION_LIMIT_MILLIS = 1_000;
+  private static final long STOP_POLL_INTERVAL_MILLIS = 50;
+  private static final long REVISION_TIMEOUT_MILLIS = 1_000;
 
-  /** What an operator sees of a node. */
+  /** The status of a node, as shown to operators. */
   public record Status(
       MemberState self,
       List<MemberState> others,
       List<ShardId> ownedShards,
-      int followed,
+      int followedShardCount,
       boolean ready) {}
 
   private final NodeContext context;
@@ -49,9 +49,9 @@
   private final RolloutService rollouts;
   private boolean stopping;
 
-  /** Creates a node; {@link #start} begins its work. */
-  public Node(NodeContext given) {
-    this.context = Objects.requireNonNull(given, "context").watched();
+  /** Creates a node; call {@link #start} to start it. */
+  public Node(NodeContext baseContext) {
+    this.context = Objects.requireNonNull(baseContext, "context").withClockJumpDetection();
     this.machines = new MachineWatcher(context);
     this.membership = new MembershipAgent(context, machines);
     this.engines = new EngineDirectory(context, machines);
@@ -77,7 +77,7 @@
     membership.addListener(runs::onMembership);
   }
 
-  /** Begins to work. */
+  /** Starts all components. */
   public void start() {
     LOG.info("node: {} starts in zone {}", context.settings().node(), context.settings().zone());
     machines.start();
@@ -87,33 +87,33 @@
     requests.start();
   }
 
-  /** Trainers' interface. */
+  /** Returns the service for trainers' requests. */
   public RolloutService rollouts() {
     return rollouts;
   }
 
-  /** Callers' interface. */
+  /** Returns the service for callers' requests. */
   public RequestService requests() {
     return requests;
   }
 
-  /** Operators' interface. */
+  /** Returns the agent that holds and applies the configuration. */
   public ConfigurationAgent configuration() {
     return configuration;
   }
 
-  /** Engines as this node knows them. */
+  /** Returns the directory of the engines that this node knows. */
   public EngineDirectory engines() {
     return engines;
   }
 
-  /** Number of parts over which nodes spread the engines that they send completions to. */
-  public int completionParts() {
+  /** Returns the number of parts into which the nodes divide the engines for completions. */
+  public int completionPartCount() {
     return Math.max(1, membership.alive().size());
   }
 
-  /** This node's part of the engines that completions go to. */
-  public int completionPart() {
+  /** Returns the index of this node's part of the engines for completions. */
+  public int completionPartIndex() {
     List<MemberState> alive = membership.alive();
     for (int part = 0; part < alive.size(); part++) {
       if (alive.get(part).node().equals(context.settings().node())) {
@@ -123,22 +123,22 @@
     return 0;
   }
 
-  /** Live nodes with this one. */
+  /** Returns the live nodes, including this one. */
   public List<MemberState> liveNodes() {
     return membership.alive();
   }
 
-  /** Name, limits and clocks of this node. */
+  /** Returns the dependencies that this node's components share. */
   public NodeContext context() {
     return context;
   }
 
-  /** Whether this node takes new work. */
+  /** Returns whether this node accepts new work. */
   public boolean isReady() {
     return !stopping && configuration.isReady();
   }
 
-  /** What an operator sees. */
+  /** Returns the current status. */
   public Status status() {
     MemberState self =
         membership.alive().stream()
@@ -157,41 +157,43 @@
         self, membership.others(), runs.ownedShards(), runs.followedShardCount(), isReady());
   }
 
-  /** Revision in force at one node; 0 if it did not answer. */
+  /** The configuration revision in use on a node; 0 if the node did not respond. */
   public record NodeRevision(String node, long revision) {}
 
-  /** Asks every live node which revision is in force there. */
+  /** Returns the configuration revisions in use on all live nodes. */
   public Uni<List<NodeRevision>> revisions() {
-    List<Uni<NodeRevision>> answers = new ArrayList<>();
+    List<Uni<NodeRevision>> revisions = new ArrayList<>();
     for (MemberState member : membership.alive()) {
-      boolean self = member.node().equals(context.settings().node());
-      answers.add(
-          self
+      boolean isSelf = member.node().equals(context.settings().node());
+      revisions.add(
+          isSelf
               ? Uni.createFrom()
                   .item(
                       new NodeRevision(
                           member.node().value(), configuration.activeImage().revision()))
-              : askRevision(member));
+              : fetchRevision(member));
     }
-    return Uni.join().all(answers).andFailFast();
+    return Uni.join().all(revisions).andFailFast();
   }
 
-  private Uni<NodeRevision> askRevision(MemberState member) {
+  private Uni<NodeRevision> fetchRevision(MemberState member) {
     Uni<PeerResponse> call =
         context
             .platform()
             .peers()
-            .call(member.address(), new PeerRequest.FetchRevision(), REVISION_LIMIT_MILLIS);
+            .call(member.address(), new PeerRequest.FetchRevision(), REVISION_TIMEOUT_MILLIS);
     return context
         .timers()
-        .withTimeout(call, REVISION_LIMIT_MILLIS, "revision")
-        .map(answer -> answer instanceof PeerResponse.Revision revision ? revision.revision() : 0L)
+        .withTimeout(call, REVISION_TIMEOUT_MILLIS, "revision")
+        .map(
+            response ->
+                response instanceof PeerResponse.Revision revision ? revision.revision() : 0L)
         .onFailure()
         .recoverWithItem(0L)
         .map(revision -> new NodeRevision(member.node().value(), revision));
   }
 
-  /** Serves a message of another node. */
+  /** Handles a request from another node. */
   public Uni<PeerResponse> onPeerRequest(PeerRequest request) {
     if (request instanceof PeerRequest.ToOwner toOwner) {
       return runs.onRequest(toOwner);
@@ -200,7 +202,7 @@
     } else if (request instanceof PeerRequest.Probe probe) {
       return membership.onProbe(probe);
     } else if (request instanceof PeerRequest.CarryRequest carry) {
-      return requests.onCarry(carry);
+      return requests.onForwardedRequest(carry);
     } else if (request instanceof PeerRequest.FetchConfiguration fetch) {
       return Uni.createFrom().item(configuration.onFetch(fetch));
     }
@@ -208,8 +210,8 @@
   }
 
   /**
-   * Planned stop: takes nothing new, gives its leases back, lets what runs finish. Gives a result
-   * when nothing is in progress or the limit has passed.
+   * Drains the node: refuses new work, releases its leases and waits for requests in progress.
+   * Completes when none is in progress or the time limit expires.
    */
   public Uni<Void> stop(long limitMillis) {
     if (!stopping) {
@@ -218,7 +220,7 @@
       requests.stopAccepting();
       membership.announceLeaving();
     }
-    long deadline = context.timers().nowMillis() + limitMillis;
+    long deadlineMillis = context.timers().nowMillis() + limitMillis;
     Uni<Void> released =
         context
             .timers()
@@ -227,7 +229,8 @@
             .recoverWithNull();
     return released.chain(
         ignored ->
-            Uni.createFrom().emitter(emitter -> awaitIdle(deadline, () -> emitter.complete(null))));
+            Uni.createFrom()
+                .emitter(emitter -> awaitIdle(deadlineMillis, () -> emitter.complete(null))));
   }
 
   private void awaitIdle(long deadlineMillis, Runnable then) {
@@ -236,6 +239,6 @@
       then.run();
       return;
     }
-    context.timers().after(STOP_POLL_MILLIS, () -> awaitIdle(deadlineMillis, then));
+    context.timers().after(STOP_POLL_INTERVAL_MILLIS, () -> awaitIdle(deadlineMillis, then));
   }
 }
--- a/node/src/main/java/org/passhaven/node/NodeContext.java
+++ b/node/src/main/java/org/passhaven/node/NodeContext.java
@@ -7,11 +7,11 @@
 import org.passhaven.spi.Timers;
 
 /**
- * What every part of a node is given.
+ * Holds the dependencies that the components of a node share.
  *
- * @param incarnation this start of the node; higher than that of any earlier start
- * @param randomBelow random number from zero to below the argument; seeded in the simulator
- * @param recordSequence numbers the records that this start writes
+ * @param incarnation number of this start of the node; higher than that of any earlier start
+ * @param randomBelow returns a random number from zero (inclusive) to its argument (exclusive)
+ * @param recordSequence numbers the records that this incarnation writes
  */
 public record NodeContext(
     NodeSettings settings,
@@ -30,8 +30,8 @@
     Objects.requireNonNull(recordSequence, "recordSequence");
   }
 
-  /** The same with clocks that are watched for gaps. */
-  NodeContext watched() {
+  /** Returns a copy whose timers detect clock jumps. */
+  NodeContext withClockJumpDetection() {
     return new NodeContext(
         settings,
         incarnation,
--- a/node/src/main/java/org/passhaven/node/NodeMetrics.java
+++ b/node/src/main/java/org/passhaven/node/NodeMetrics.java
@@ -3,21 +3,21 @@
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
 
-/** Counters of one node, named as docs/OPERATIONS.md lists them. */
+/** Holds the metric counters of one node; docs/OPERATIONS.md lists them. */
 public final class NodeMetrics {
-  /** Samples handed to trainers. */
+  /** Samples delivered to trainers. */
   public final Counter samplesHandedOver;
 
   /** Records appended to the log. */
   public final Counter recordsAppended;
 
-  /** Appends repeated because their answer was lost or late. */
+  /** Appends retried because their response was lost or late. */
   public final Counter appendsRepeated;
 
   /** Leases claimed. */
   public final Counter leasesClaimed;
 
-  /** Generations begun. */
+  /** Generations started. */
   public final Counter generationsBegun;
 
   /** Generations that failed on an engine. */
@@ -26,13 +26,13 @@
   /** Requests answered. */
   public final Counter requestsAnswered;
 
-  /** Requests refused as not run. */
+  /** Requests refused without running. */
   public final Counter requestsRefused;
 
   /** Requests whose outcome is unknown. */
   public final Counter requestsUnknown;
 
-  /** Requests sent again to another server. */
+  /** Requests retried on another server. */
   public final Counter requestsRetried;
 
   /** Messages sent to peers. */
--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -9,23 +9,23 @@
 import org.passhaven.protocol.NodeId;
 
 /**
- * Settings of one node, checked and immutable.
+ * Holds the immutable settings of one node.
  *
- * @param node unique name
- * @param zone zone, as in the machine list
- * @param address host and port that peers and callers reach
- * @param seeds peer addresses asked first, beside the machine list
- * @param lease clock rules of leases
- * @param membership pace of heartbeats
- * @param decisionInterval time between two rounds of an owner's decisions
- * @param machineListInterval time between two looks at the machine list
- * @param loadReportInterval time between two load reports of an engine
- * @param maxReportsPerInterval most engines that are asked for a report in one period
- * @param candidatesPerShard nodes that follow a shard's stream: the owner and its standbys
- * @param minEngineSubsetSize engines of a group that one user takes at least
- * @param intentStreamCount streams over which idempotency keys are spread
- * @param maxConcurrentSwaps most engines of a group that swap weights at the same time
- * @param dispatchPolicy how owners choose engines
+ * @param node unique name of the node
+ * @param zone zone of the node, as in the machine list
+ * @param address host and port at which peers and callers reach the node
+ * @param seeds addresses of peers to contact first, in addition to the machine list
+ * @param lease durations of leases
+ * @param membership settings of heartbeats and failure detection
+ * @param decisionInterval interval between two decision rounds of a shard's owner
+ * @param machineListInterval interval between two reads of the machine list
+ * @param loadReportInterval interval between two load reports of an engine
+ * @param maxReportsPerInterval maximum number of engines polled for a report in one interval
+ * @param candidatesPerShard number of nodes that read a shard's stream: the owner and its standbys
+ * @param minEngineSubsetSize minimum number of engines of a group that one user uses
+ * @param intentStreamCount number of streams over which idempotency keys are distributed
+ * @param maxConcurrentSwaps maximum number of engines of a group that load weights at the same time
+ * @param dispatchPolicy policy by which shard owners choose engines
  */
 public record NodeSettings(
     NodeId node,
@@ -50,7 +50,7 @@
     seeds = List.copyOf(seeds);
   }
 
-  /** Defaults for a node. */
+  /** Returns the default settings for a node. */
   public static NodeSettings defaults(
       NodeId node, String zone, String address, List<String> seeds) {
     return new NodeSettings(
@@ -71,7 +71,7 @@
         DispatchPolicy.DEFAULT);
   }
 
-  /** The same settings with another policy. */
+  /** Returns a copy with another dispatch policy. */
   public NodeSettings withDispatchPolicy(DispatchPolicy policy) {
     return new NodeSettings(
         node,
--- a/node/src/main/java/org/passhaven/node/package-info.java
+++ b/node/src/main/java/org/passhaven/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One passhaven process: the parts that carry out the decisions of the core. Everything runs on one
- * thread.
+ * A passhaven node: its components, settings and metrics. The components execute the decisions of
+ * the core; all of them run on one thread.
  */
 package org.passhaven.node;
--- a/node/src/test/java/org/passhaven/node/ManualTimers.java
+++ b/node/src/test/java/org/passhaven/node/ManualTimers.java
@@ -4,51 +4,53 @@
 import java.util.PriorityQueue;
 import org.passhaven.spi.Timers;
 
-/** Timers that run when the test says how far time goes. */
+/** Timers with a simulated clock that the test advances. */
 public final class ManualTimers implements Timers {
-  private record Task(long at, long order, Runnable run) {}
+  /** A scheduled task; tasks due at the same time run in the order of scheduling. */
+  private record Task(long dueMillis, long sequence, Runnable action) {}
 
   private final PriorityQueue<Task> tasks =
-      new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
-  private long now;
-  private long order;
+      new PriorityQueue<>(
+          Comparator.comparingLong(Task::dueMillis).thenComparingLong(Task::sequence));
+  private long currentMillis;
+  private long nextSequence;
   private long timeOfDayAheadMillis;
 
   @Override
   public long nowMillis() {
-    return now;
+    return currentMillis;
   }
 
   @Override
   public long timeOfDayMillis() {
-    return now + timeOfDayAheadMillis;
+    return currentMillis + timeOfDayAheadMillis;
   }
 
-  /** The machine is suspended for a time, which the monotonic clock does not count. */
+  /** Simulates a suspension of the machine: only the time of day advances. */
   public void suspend(long millis) {
     timeOfDayAheadMillis += millis;
   }
 
   @Override
   public Timer after(long delayMillis, Runnable task) {
-    Task set = new Task(now + Math.max(0, delayMillis), order++, task);
-    tasks.add(set);
-    return () -> tasks.remove(set);
+    Task scheduled = new Task(currentMillis + Math.max(0, delayMillis), nextSequence++, task);
+    tasks.add(scheduled);
+    return () -> tasks.remove(scheduled);
   }
 
-  /** Timers that are set. */
+  /** Returns the number of scheduled tasks. */
   public int pendingTaskCount() {
     return tasks.size();
   }
 
-  /** Lets time pass and runs what falls due. */
+  /** Advances the clock and runs the tasks that become due. */
   public void advance(long millis) {
-    long until = now + millis;
-    while (!tasks.isEmpty() && tasks.peek().at() <= until) {
+    long endMillis = currentMillis + millis;
+    while (!tasks.isEmpty() && tasks.peek().dueMillis() <= endMillis) {
       Task next = tasks.poll();
-      now = Math.max(now, next.at());
-      next.run().run();
+      currentMillis = Math.max(currentMillis, next.dueMillis());
+      next.action().run();
     }
-    now = until;
+    currentMillis = endMillis;
   }
 }
--- a/node/src/test/java/org/passhaven/node/MemoryLog.java
+++ b/node/src/test/java/org/passhaven/node/MemoryLog.java
@@ -8,33 +8,33 @@
 import org.passhaven.spi.LogService;
 import org.passhaven.spi.PlatformException;
 
-/** A log in memory whose calls a test makes fail, lose their answers or be forgotten. */
+/** An in-memory log in which a test can inject failures, lost responses and truncation. */
 public final class MemoryLog implements LogService {
-  /** How calls behave. */
+  /** How the log handles calls. */
   public enum Behavior {
     NORMAL,
-    /** Nothing is done, and the caller is told. */
+    /** The call fails and has no effect. */
     REJECTS_CALLS,
-    /** The append is done, its answer is lost. */
+    /** The append takes effect, but its response is lost. */
     LOSES_RESPONSES,
-    /** Nothing is done, and no answer comes. */
+    /** The call has no effect and gets no response. */
     NEVER_RESPONDS
   }
 
   private final ManualTimers timers;
   private final Map<String, List<byte[]>> streams = new HashMap<>();
-  private final Map<String, Long> firstKept = new HashMap<>();
+  private final Map<String, Long> firstRetainedOffsets = new HashMap<>();
 
-  /** Manner of appends. */
+  /** How appends behave. */
   public Behavior appendBehavior = Behavior.NORMAL;
 
-  /** Manner of reads. */
+  /** How reads behave. */
   public Behavior readBehavior = Behavior.NORMAL;
 
-  /** Whether reads that begin now give no answer, ever. */
+  /** Whether reads that start now never complete. */
   public boolean hangReads;
 
-  /** Appends asked for. */
+  /** Number of append calls. */
   public int appendCalls;
 
   /** Creates an empty log. */
@@ -42,19 +42,19 @@
     this.timers = timers;
   }
 
-  /** Names of the streams that were used. */
+  /** Returns the names of the streams that were used. */
   public List<String> streams() {
     return List.copyOf(streams.keySet());
   }
 
-  /** Records of a stream. */
+  /** Returns the records of a stream. */
   public List<byte[]> stream(String name) {
     return streams.computeIfAbsent(name, key -> new ArrayList<>());
   }
 
-  /** Forgets the records before an offset. */
+  /** Truncates a stream: drops the records before an offset. */
   public void truncate(String name, long first) {
-    firstKept.put(name, first);
+    firstRetainedOffsets.put(name, first);
   }
 
   @Override
@@ -66,45 +66,57 @@
     }
     return switch (appendBehavior) {
       case NORMAL -> Uni.createFrom().item(offset);
-      case REJECTS_CALLS -> Uni.createFrom().failure(refused());
-      case LOSES_RESPONSES, NEVER_RESPONDS -> lost();
+      case REJECTS_CALLS -> Uni.createFrom().failure(refusal());
+      case LOSES_RESPONSES, NEVER_RESPONDS -> lostResponse();
     };
   }
 
-  private static PlatformException refused() {
+  private static PlatformException refusal() {
     return new PlatformException(PlatformException.Kind.NOT_RUN, "refused");
   }
 
-  private Uni<Long> lost() {
+  private Uni<Long> lostResponse() {
     return timers.withTimeout(Uni.createFrom().nothing(), 1_000, "append");
   }
 
   @Override
-  public Uni<Batch> read(String stream, long fromOffset, int most, long waitMillis) {
+  public Uni<Batch> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
     if (hangReads) {
       return Uni.createFrom().nothing();
     }
     if (readBehavior != Behavior.NORMAL) {
-      return Uni.createFrom().failure(refused());
+      return Uni.createFrom().failure(refusal());
     }
     return Uni.createFrom()
         .emitter(
             emitter ->
-                poll(stream, fromOffset, most, timers.nowMillis() + waitMillis, emitter::complete));
+                poll(
+                    stream,
+                    fromOffset,
+                    maxRecords,
+                    timers.nowMillis() + waitMillis,
+                    emitter::complete));
   }
 
   private void poll(
-      String stream, long from, int most, long until, java.util.function.Consumer<Batch> answer) {
-    long first = firstKept.getOrDefault(stream, 0L);
+      String stream,
+      long fromOffset,
+      int maxRecords,
+      long deadlineMillis,
+      java.util.function.Consumer<Batch> responder) {
+    long first = firstRetainedOffsets.getOrDefault(stream, 0L);
     List<byte[]> all = stream(stream);
-    if (from < first) {
-      answer.accept(new Batch(first, List.of(), Long.MAX_VALUE));
-    } else if (all.size() > from || timers.nowMillis() >= until) {
-      int end = (int) Math.min(all.size(), from + most);
-      answer.accept(
-          new Batch(from, from < end ? all.subList((int) from, end) : List.of(), all.size()));
+    if (fromOffset < first) {
+      responder.accept(new Batch(first, List.of(), Long.MAX_VALUE));
+    } else if (all.size() > fromOffset || timers.nowMillis() >= deadlineMillis) {
+      int end = (int) Math.min(all.size(), fromOffset + maxRecords);
+      responder.accept(
+          new Batch(
+              fromOffset,
+              fromOffset < end ? all.subList((int) fromOffset, end) : List.of(),
+              all.size()));
     } else {
-      timers.after(5, () -> poll(stream, from, most, until, answer));
+      timers.after(5, () -> poll(stream, fromOffset, maxRecords, deadlineMillis, responder));
     }
   }
 }
--- a/node/src/test/java/org/passhaven/node/TimersTest.java
+++ b/node/src/test/java/org/passhaven/node/TimersTest.java
@@ -11,56 +11,56 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Limits of calls. */
+/** Guards against calls that outlive their timeout and calls that are cancelled too early. */
 class TimersTest {
   private final ManualTimers timers = new ManualTimers();
-  private final List<String> ends = new ArrayList<>();
+  private final List<String> outcomes = new ArrayList<>();
   private boolean cancelled;
-  private Runnable signOfLife;
+  private Runnable reportProgress;
 
   private Cancellable subscribe(Uni<String> call) {
-    return call.subscribe().with(ends::add, failure -> ends.add(failure.getMessage()));
+    return call.subscribe().with(outcomes::add, failure -> outcomes.add(failure.getMessage()));
   }
 
-  private Uni<String> noAnswer() {
+  private Uni<String> noResponse() {
     return Uni.createFrom().emitter(emitter -> emitter.onTermination(() -> cancelled = true));
   }
 
   @Test
-  void aCallPastItsLimitIsGivenUpAndCancelled() {
-    subscribe(timers.withTimeout(noAnswer(), 100, "call"));
+  void aCallThatExceedsItsTimeoutFailsAndIsCancelled() {
+    subscribe(timers.withTimeout(noResponse(), 100, "call"));
     timers.advance(99);
-    assertThat(ends, empty());
+    assertThat(outcomes, empty());
     timers.advance(1);
-    assertThat(ends, contains("call timed out"));
+    assertThat(outcomes, contains("call timed out"));
     assertThat(cancelled, is(true));
   }
 
   @Test
-  void aCallThatNobodyWaitsForIsCancelledAtOnce() {
-    subscribe(timers.withTimeout(noAnswer(), 100, "call")).cancel();
+  void cancellingTheSubscriptionCancelsTheCall() {
+    subscribe(timers.withTimeout(noResponse(), 100, "call")).cancel();
     assertThat(cancelled, is(true));
     timers.advance(200);
-    assertThat(ends, empty());
+    assertThat(outcomes, empty());
   }
 
   @Test
-  void aCallThatShowsSignsOfLifeIsNotGivenUp() {
+  void aCallThatReportsProgressDoesNotTimeOut() {
     subscribe(
         timers.withIdleTimeout(
-            alive -> {
-              signOfLife = alive;
-              return noAnswer();
+            progress -> {
+              reportProgress = progress;
+              return noResponse();
             },
             100,
             "call"));
     for (int i = 0; i < 10; i++) {
       timers.advance(90);
-      signOfLife.run();
+      reportProgress.run();
     }
-    assertThat(ends, empty());
+    assertThat(outcomes, empty());
     timers.advance(100);
-    assertThat(ends, contains("call timed out"));
+    assertThat(outcomes, contains("call timed out"));
     assertThat(cancelled, is(true));
   }
 }
