--- a/node/src/main/java/org/passhaven/node/ClockJumpDetectingTimers.java
+++ b/node/src/main/java/org/passhaven/node/ClockJumpDetectingTimers.java
@@ -8,13 +8,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Timers that detect clock jumps: each read of the monotonic clock compares it with the time of
- * day. A caller that reads the time before an action thus sees a suspension of the machine first.
+ * Timers that detect clock jumps, log them and count them in {@link #clockJumps}. Each call of
+ * {@link #nowMillis} compares the monotonic clock with the time of day, so that the first call
+ * after a suspension of the machine detects the jump.
  */
 public final class ClockJumpDetectingTimers implements Timers {
   private static final Logger LOG = LoggerFactory.getLogger(ClockJumpDetectingTimers.class);
   private final Timers timers;
-  private final ClockJumpDetector clockWatch = new ClockJumpDetector();
+  private final ClockJumpDetector detector = new ClockJumpDetector();
   private ClockJumps clockJumps = ClockJumps.NONE;
 
   /** Creates timers that delegate to {@code timers} and check its clocks. */
@@ -25,7 +26,7 @@
   @Override
   public long nowMillis() {
     long now = timers.nowMillis();
-    long jumpMillis = clockWatch.check(now, timers.timeOfDayMillis());
+    long jumpMillis = detector.check(now, timers.timeOfDayMillis());
     if (jumpMillis != 0) {
       clockJumps =
           new ClockJumps(clockJumps.count() + 1, clockJumps.lostMillis() + Math.max(0, jumpMillis));
--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -233,12 +233,12 @@
                 .emitter(emitter -> awaitIdle(deadlineMillis, () -> emitter.complete(null))));
   }
 
-  private void awaitIdle(long deadlineMillis, Runnable then) {
+  private void awaitIdle(long deadlineMillis, Runnable onStopped) {
     if (requests.inProgress() == 0 || context.timers().nowMillis() >= deadlineMillis) {
       LOG.info("node: {} has stopped", context.settings().node());
-      then.run();
+      onStopped.run();
       return;
     }
-    context.timers().after(STOP_POLL_INTERVAL_MILLIS, () -> awaitIdle(deadlineMillis, then));
+    context.timers().after(STOP_POLL_INTERVAL_MILLIS, () -> awaitIdle(deadlineMillis, onStopped));
   }
 }
--- a/node/src/main/java/org/passhaven/node/NodeMetrics.java
+++ b/node/src/main/java/org/passhaven/node/NodeMetrics.java
@@ -11,7 +11,7 @@
   /** Records appended to the log. */
   public final Counter recordsAppended;
 
-  /** Appends retried because their response was lost or late. */
+  /** Appends retried because they failed or their records were not read back in time. */
   public final Counter appendsRepeated;
 
   /** Leases claimed. */
--- a/node/src/main/java/org/passhaven/node/NodeSettings.java
+++ b/node/src/main/java/org/passhaven/node/NodeSettings.java
@@ -14,15 +14,16 @@
  * @param node unique name of the node
  * @param zone zone of the node, as in the machine list
  * @param address host and port at which peers and callers reach the node
- * @param seeds addresses of peers to contact first, in addition to the machine list
+ * @param seeds addresses of peers; unused, since nodes are discovered from the machine list
  * @param lease durations of leases
  * @param membership settings of heartbeats and failure detection
  * @param decisionInterval interval between two decision rounds of a shard's owner
  * @param machineListInterval interval between two reads of the machine list
- * @param loadReportInterval interval between two load reports of an engine
- * @param maxReportsPerInterval maximum number of engines polled for a report in one interval
+ * @param loadReportInterval interval between two rounds of requests for engines' load reports
+ * @param maxReportsPerInterval maximum number of engines asked for a report in one round
  * @param candidatesPerShard number of nodes that read a shard's stream: the owner and its standbys
- * @param minEngineSubsetSize minimum number of engines of a group that one user uses
+ * @param minEngineSubsetSize minimum number of engines that one user of a group uses, if the group
+ *     has as many
  * @param intentStreamCount number of streams over which idempotency keys are distributed
  * @param maxConcurrentSwaps maximum number of engines of a group that load weights at the same time
  * @param dispatchPolicy policy by which shard owners choose engines
--- a/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineDirectory.java
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Returns the engines of the use's own partition that have sent a report; the user orders these
-   * to new versions.
+   * Returns the engines of the use's own partition that have sent a report; a shard's owner orders
+   * these to load new versions.
    */
   public List<EngineView> ownEngines(EngineUse use) {
     return views(selectionFor(use).ownPart());
--- a/node/src/main/java/org/passhaven/node/backend/EngineUse.java
+++ b/node/src/main/java/org/passhaven/node/backend/EngineUse.java
@@ -5,11 +5,12 @@
 /**
  * Use of an engine group by one component of a node.
  *
- * <p>A group that several shards share is partitioned among them, so that each engine has one owner
- * that monitors it, sends it work and orders it to new versions. If a partition has too few
- * engines, its user also uses engines of other partitions.
+ * <p>The group is divided into partitions, one for each shard of a trainer or, for completions, one
+ * for each live node. The user monitors the engines of its partition and sends them work; the owner
+ * of a shard also orders them to load new versions. If the partition has too few engines, the user
+ * also uses engines of other partitions.
  *
- * @param user name of the user; ranks the engines of other partitions
+ * @param user name of the user; determines which engines of other partitions it uses
  * @param group name of the engine group
  * @param partitionIndex index of the user's partition, from zero
  * @param partitionCount number of partitions
--- a/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
+++ b/node/src/main/java/org/passhaven/node/backend/MachineWatcher.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Polls the machine list and keeps the last one that was read, also when a fetch fails. Used on the
- * node's thread.
+ * Polls the machine list and keeps the last one that was read, also when a fetch fails. {@link
+ * #whenCurrent} delays new work until the list is current. Used on the node's thread.
  */
 public final class MachineWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(MachineWatcher.class);
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Returns whether the list was fetched recently by the local clock. After a suspension of the
-   * node the list is outdated and must be fetched before new work is sent.
+   * Returns whether the list was fetched recently by the local clock; a failed fetch counts too.
+   * After a suspension of the node, the list must be fetched again before new work is sent.
    */
   public boolean isCurrent() {
     return context.timers().nowMillis() - lastFetchMillis <= MAX_AGE_MILLIS;
@@ -87,7 +87,7 @@
 
   private void onFailure(Throwable failure) {
     LOG.debug("machines: the list can't be read: {}", failure.getMessage());
-    // A failed fetch counts too, so that the node goes on serving with the list it has.
+    // A failed fetch counts too, so that the node continues to serve with the last list it read.
     onFetched(context.timers().nowMillis());
   }
 
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -29,8 +29,8 @@
  * Follows the configuration in the log, activates its latest revision at this node and appends new
  * revisions. Used on the node's thread.
  *
- * <p>Invariant: the revision of the active image never decreases. While the log is unavailable, a
- * restarted node fetches the image from its peers.
+ * <p>Invariant: the revision of the active image never decreases. The agent also fetches the image
+ * from a peer that announces a newer revision and, while the log is unavailable, from any peer.
  */
 public final class ConfigurationAgent implements StreamListener {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationAgent.class);
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Returns the errors of invalid or forbidden changes. A trainer's shards can't change, since open
-   * steps are partitioned by them.
+   * Returns the errors in the requested documents, including forbidden changes. A trainer's shards
+   * can't change, since open steps are partitioned by them.
    */
   private List<String> forbiddenChanges(List<ConfigurationDocument> documents) {
     List<String> errors = new ArrayList<>();
--- a/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
+++ b/node/src/main/java/org/passhaven/node/follow/HistoryReadQueue.java
@@ -13,18 +13,19 @@
 import org.passhaven.spi.Timers;
 
 /**
- * Queue of a node's history reads over all streams. Reads in chunks and limits the number of reads
- * in flight to what the connection to the log sustains ({@link ReadConcurrencyLimiter}), so that
- * nodes that start at the same time don't overload the log with reads that time out. Each stream
- * has at most one read in flight. Used on the node's thread.
+ * Queue of a node's history reads, which read the existing records of a stream up to its end. Reads
+ * in chunks and limits the number of reads in flight to what the connection to the log sustains
+ * ({@link ReadConcurrencyLimiter}), so that nodes that start at the same time don't overload the
+ * log with reads that time out. Callers have at most one read of each stream in flight. Used on the
+ * node's thread.
  */
 public final class HistoryReadQueue {
-  /** Takes about one second on a 2 Mbit/s link. */
+  /** Size of a chunk, which takes about one second to read on a 2 Mbit/s link. */
   private static final int CHUNK_BYTES = 262_144;
 
   private final LogService log;
   private final Timers timers;
-  private final ReadConcurrencyLimiter window = new ReadConcurrencyLimiter();
+  private final ReadConcurrencyLimiter concurrencyLimiter = new ReadConcurrencyLimiter();
   private final Deque<QueuedRead> waiting = new ArrayDeque<>();
   private int inFlight;
 
@@ -58,7 +59,7 @@
   }
 
   private void startReads() {
-    while (inFlight < window.maxConcurrentReads() && !waiting.isEmpty()) {
+    while (inFlight < concurrencyLimiter.maxConcurrentReads() && !waiting.isEmpty()) {
       waiting.pollFirst().start();
     }
   }
@@ -91,7 +92,7 @@
 
     private void onBatch(Batch batch, long startMillis) {
       if (markEnded()) {
-        window.onReadCompleted(timers.nowMillis() - startMillis);
+        concurrencyLimiter.onReadCompleted(timers.nowMillis() - startMillis);
         emitter.complete(batch);
         startReads();
       }
@@ -100,7 +101,7 @@
     private void onFailure(Throwable failure, long startMillis) {
       if (markEnded()) {
         if (PlatformException.from(failure).kind() != PlatformException.Kind.NOT_RUN) {
-          window.onReadLost(startMillis, timers.nowMillis());
+          concurrencyLimiter.onReadLost(startMillis, timers.nowMillis());
         }
         emitter.fail(failure);
         startReads();
--- a/node/src/main/java/org/passhaven/node/follow/LogTail.java
+++ b/node/src/main/java/org/passhaven/node/follow/LogTail.java
@@ -227,7 +227,8 @@
 
   /**
    * Reads without waiting, in addition to a pending read. Returns true once all records appended
-   * before the call have been delivered, false if the stream could not be read.
+   * before the call have been delivered, false if the stream could not be read or its end has not
+   * been reached yet.
    */
   public Uni<Boolean> refresh() {
     if (!caughtUp) {
--- a/node/src/main/java/org/passhaven/node/follow/OutageTracker.java
+++ b/node/src/main/java/org/passhaven/node/follow/OutageTracker.java
@@ -6,7 +6,7 @@
 
 /**
  * Tracks outages of one source that is read continuously. Logs the start and the end of each outage
- * once and doubles the backoff after each failed read. Not thread-safe.
+ * once and doubles the backoff after each failed read, up to a maximum. Not thread-safe.
  */
 final class OutageTracker {
   private static final long INITIAL_BACKOFF_MILLIS = 50;
--- a/node/src/main/java/org/passhaven/node/follow/ReadPause.java
+++ b/node/src/main/java/org/passhaven/node/follow/ReadPause.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import org.passhaven.spi.Timers;
 
-/** Pause between two reads that can be ended early. Not thread-safe. */
+/** A pause between two reads; it can be ended early. Not thread-safe. */
 final class ReadPause {
   private final Timers timers;
   private final Runnable onEnd;
--- a/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
@@ -12,7 +12,10 @@
 import org.passhaven.protocol.ConfigurationDocument;
 import org.passhaven.protocol.MemberState;
 
-/** Handles operators' requests, which docs/API.md describes. */
+/**
+ * Handles operators' HTTP requests: to apply or show the configuration, to show the status and the
+ * revisions of the nodes, and to drain this node. docs/API.md describes them.
+ */
 final class OperatorHandler {
   private static final long DRAIN_TIMEOUT_MILLIS = 30_000;
 
--- a/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/TrainerHandler.java
@@ -9,7 +9,10 @@
 import org.passhaven.protocol.Prompt;
 import org.passhaven.protocol.Sample;
 
-/** Handles trainers' requests, which docs/API.md describes. */
+/**
+ * Handles trainers' HTTP requests: to submit steps, pull samples, report the weight version and end
+ * the run. docs/API.md describes them.
+ */
 final class TrainerHandler {
   private static final long REQUEST_TIMEOUT_MILLIS = 30_000;
   private static final long MAX_WAIT_MILLIS = 30_000;
--- a/node/src/main/java/org/passhaven/node/request/IntentAgent.java
+++ b/node/src/main/java/org/passhaven/node/request/IntentAgent.java
@@ -19,13 +19,18 @@
 import org.passhaven.spi.Timers;
 
 /**
- * Records the intents of idempotency keys in one stream of the log and decides whether this node
- * may send the request of a key.
+ * Decides whether this node may send the request of an idempotency key. An intent is a record that
+ * a node is about to send the request of a key; the first intent of a key that is not withdrawn
+ * permits its writer to send the request. Each agent records the intents and the responses of the
+ * keys of one stream.
  */
 final class IntentAgent implements StreamListener {
   /** The decision on whether this node may send the request of a key. */
   sealed interface Decision {
-    /** This node recorded the first intent of the key: it must send the request or withdraw. */
+    /**
+     * This node recorded the first intent of the key: it must send the request or withdraw the
+     * intent.
+     */
     record Send() implements Decision {}
 
     /** The request of this key already has a response. */
@@ -119,7 +124,7 @@
 
   private void onTimeout(PendingIntent intent) {
     if (!intent.finished) {
-      // An intent that is read back as the first one after the timeout is withdrawn.
+      // If the intent is later read back as the first of its key, it is withdrawn.
       intent.finish(new Decision.NotDurable());
     }
   }
--- a/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
+++ b/node/src/main/java/org/passhaven/node/request/KeyedRequests.java
@@ -20,8 +20,9 @@
 import org.passhaven.spi.ServiceBackEnd;
 
 /**
- * Handles requests with an idempotency key. Each key belongs to an intent stream in the log, which
- * one node owns; the log decides which attempt may send the request.
+ * Handles non-repeatable requests with an idempotency key. Before a request is sent, the intent to
+ * send it is recorded in the key's intent stream in the log; the first intent of the key that is
+ * not withdrawn decides which attempt may send the request. One node owns each intent stream.
  */
 final class KeyedRequests {
   private static final long LOG_DOWN_RETRY_AFTER_MILLIS = 2_000;
--- a/node/src/main/java/org/passhaven/node/request/RequestService.java
+++ b/node/src/main/java/org/passhaven/node/request/RequestService.java
@@ -31,9 +31,9 @@
  * Sends callers' requests to the servers of a service.
  *
  * <p>A request is retried only if it is known not to have run or is repeatable, and only within the
- * retry budget of its service; the first retry after a server's refusal is free. A non-repeatable
- * request with an idempotency key is sent only after its intent is durable; one without a key is
- * not retried once a server may have run it.
+ * retry budget of its service; a retry after the refusal of the first server tried doesn't count
+ * against the budget. A non-repeatable request with an idempotency key is sent only after its
+ * intent is durable; one without a key is not retried once a server may have run it.
  */
 public final class RequestService {
   private static final int RETRY_PARTS_PER_REQUEST = 100;
--- a/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
+++ b/node/src/main/java/org/passhaven/node/run/GenerationRunner.java
@@ -15,8 +15,8 @@
 import org.passhaven.spi.EngineService;
 
 /**
- * Runs generation attempts on engines and reports their results to a listener. A cancelled attempt
- * is not reported any more.
+ * Runs generation attempts on engines and reports their results to a listener. Nothing more is
+ * reported about an attempt once it is cancelled.
  */
 final class GenerationRunner {
   private static final long STALL_TIMEOUT_MILLIS = 120_000;
@@ -131,10 +131,10 @@
           }
         });
     for (AttemptId attempt : stalled) {
-      Cancellable stop = running.get(attempt).subscription;
+      Cancellable subscription = running.get(attempt).subscription;
       onFailed(attempt);
-      if (stop != null) {
-        stop.cancel();
+      if (subscription != null) {
+        subscription.cancel();
       }
     }
   }
--- a/node/src/main/java/org/passhaven/node/run/OwnerClient.java
+++ b/node/src/main/java/org/passhaven/node/run/OwnerClient.java
@@ -43,7 +43,8 @@
   /**
    * Sends a request and retries until an owner responds or the time limit expires.
    *
-   * @param limitMillis time limit for getting a response, retries included
+   * @param limitMillis time after which no further attempt starts; the last one may exceed it by up
+   *     to {@code holdMillis}
    * @param holdMillis how long the owner may hold the request before it responds
    */
   public Uni<PeerResponse> send(PeerRequest.ToOwner request, long limitMillis, long holdMillis) {
--- a/node/src/main/java/org/passhaven/node/run/VersionOrderSender.java
+++ b/node/src/main/java/org/passhaven/node/run/VersionOrderSender.java
@@ -13,7 +13,8 @@
 
 /**
  * Orders the engines of one shard's owner to load the trainer's weight version. The version is also
- * the fencing token: it only grows, so a superseded owner can't make an engine load an older one.
+ * the epoch of the order: engines reject an order with a lower epoch than they have seen, so a
+ * superseded owner can't make an engine load an older version.
  */
 final class VersionOrderSender {
   private final NodeContext context;
@@ -26,9 +27,13 @@
     this.rollout = new VersionRollout(context.settings().maxConcurrentSwaps());
   }
 
-  /** Sends the orders that are due; orders the engines in {@code awaited} last. */
-  void send(Collection<EngineView> part, Set<ServerId> awaited, String model, long version) {
-    for (EngineView engine : rollout.plan(part, awaited, version, context.timers().nowMillis())) {
+  /**
+   * Sends the orders that are due. The engines in {@code awaited}, which run samples that a trainer
+   * waits for, are deferred for a limited time.
+   */
+  void send(Collection<EngineView> ownEngines, Set<ServerId> awaited, String model, long version) {
+    for (EngineView engine :
+        rollout.plan(ownEngines, awaited, version, context.timers().nowMillis())) {
       order(engine, new VersionOrder(model, version, version));
     }
   }
--- a/node/src/main/java/org/passhaven/node/stream/StreamClient.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamClient.java
@@ -18,7 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads one stream of the log continuously and appends records to it.
+ * Reads one stream of the log continuously, starting after its latest snapshot, and appends records
+ * to it. Snapshots are kept in a second stream.
  *
  * <p>The outcome of an append is known once the record has been read back. One batch is in flight
  * at a time and is retried with the same record identities until it has been read back, so that a
--- a/node/src/main/java/org/passhaven/node/stream/StreamListener.java
+++ b/node/src/main/java/org/passhaven/node/stream/StreamListener.java
@@ -9,7 +9,8 @@
    *
    * @param entry the record
    * @param isOwn whether this incarnation of this node appended it
-   * @param sentAtMillis time when it was first sent if own, otherwise when it was read
+   * @param sentAtMillis time when this client first sent the record, if it waits for its outcome;
+   *     otherwise the time when the record was read
    * @return whether the record took effect
    */
   boolean onEntry(LogEntry entry, boolean isOwn, long sentAtMillis);
@@ -20,6 +21,6 @@
   /** Called when the log can be read again after an outage of {@code downMillis}. */
   default void onLogRecovered(long downMillis) {}
 
-  /** Called to replace the replicated state by a snapshot; an empty image resets it. */
+  /** Called to replace the replicated state by that of a snapshot. */
   default void onRestore(byte[] image) {}
 }
