--- a/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
+++ b/core/src/main/java/org/passhaven/core/backend/ServerSubset.java
@@ -141,9 +141,9 @@
    * reuses one connection.
    *
    * @param inProgress recent peak of requests in progress at the node
-   * @param turn number of requests sent by the node so far; selects the rotation
+   * @param requestsSent number of requests sent by the node so far; selects the rotation
    */
-  public ServerSubset forLoad(int inProgress, int turn) {
+  public ServerSubset forLoad(int inProgress, int requestsSent) {
     long needed = (long) inProgress * SLOTS_PER_REQUEST;
     int neededServers = serversForSlots(needed);
     if (neededServers <= MIN_SERVERS) {
@@ -151,7 +151,7 @@
     }
     int used = Math.max(size, neededServers);
     List<ServerEntry> rotated = new ArrayList<>(byPreference);
-    Collections.rotate(rotated.subList(0, used), -Math.floorMod(turn, used));
+    Collections.rotate(rotated.subList(0, used), -Math.floorMod(requestsSent, used));
     return new ServerSubset(rotated, used);
   }
 
--- a/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
+++ b/core/src/main/java/org/passhaven/core/backend/SubsetRounds.java
@@ -61,9 +61,9 @@
     ServerEntry[] own = new ServerEntry[size];
     for (int round = 0; round < size; round++) {
       setNodeLimits(round + 1);
-      for (int turn = 0; turn < nodes.size(); turn++) {
+      for (int position = 0; position < nodes.size(); position++) {
         // The order is reversed in every other round, so that no node always chooses last.
-        int node = round % 2 == 0 ? turn : nodes.size() - 1 - turn;
+        int node = round % 2 == 0 ? position : nodes.size() - 1 - position;
         int server = chooseFor(node);
         if (nodes.get(node).name().equals(self)) {
           own[round] = servers.get(server);
--- a/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
+++ b/core/src/main/java/org/passhaven/core/job/GenerationPicker.java
@@ -73,9 +73,9 @@
   }
 
   /** Remembers the server that has the group's prompt in its cache. */
-  void rememberServerOfGroup(String group, ServerIncarnation start) {
+  void rememberServerOfGroup(String group, ServerIncarnation incarnation) {
     serverByGroup.remove(group);
-    serverByGroup.put(group, start);
+    serverByGroup.put(group, incarnation);
     if (serverByGroup.size() > MAX_GROUPS) {
       serverByGroup.remove(serverByGroup.keySet().iterator().next());
     }
@@ -161,9 +161,9 @@
 
   /** Returns the expected time of the remaining text at a server, plus penalties. */
   private double cost(ItemExecution execution, ServerEntry server, long nowMillis) {
-    ServerIncarnation start = server.incarnation();
-    double cost = view.expectedMillis(remainingEvents(execution), start) + loadCost(server);
-    if (start.equals(serverByGroup.get(execution.item.group()))) {
+    ServerIncarnation incarnation = server.incarnation();
+    double cost = view.expectedMillis(remainingEvents(execution), incarnation) + loadCost(server);
+    if (incarnation.equals(serverByGroup.get(execution.item.group()))) {
       cost -= AFFINITY_GAIN_MILLIS;
     }
     if (!server.zone().equals(zone)) {
--- a/core/src/main/java/org/passhaven/core/job/ReadyServers.java
+++ b/core/src/main/java/org/passhaven/core/job/ReadyServers.java
@@ -36,8 +36,8 @@
   }
 
   /** Returns the entry of a server; null if it accepts no new work. */
-  ServerEntry get(ServerIncarnation start) {
-    return byIncarnation.get(start);
+  ServerEntry get(ServerIncarnation incarnation) {
+    return byIncarnation.get(incarnation);
   }
 
   Set<String> services() {
--- a/core/src/main/java/org/passhaven/core/job/RunOwners.java
+++ b/core/src/main/java/org/passhaven/core/job/RunOwners.java
@@ -122,9 +122,9 @@
   }
 
   /** Returns whether a run's owner is known to have left or restarted. */
-  public boolean isOwnerGone(String run, HeartbeatTable beats) {
+  public boolean isOwnerGone(String run, HeartbeatTable heartbeats) {
     RunClaimed owner = owners.get(run);
-    return owner != null && beats.hasEnded(owner.node(), owner.incarnation());
+    return owner != null && heartbeats.hasEnded(owner.node(), owner.incarnation());
   }
 
   /**
@@ -132,20 +132,21 @@
    *
    * @param readTo offset up to which the run's stream was read
    */
-  public Optional<RunClaimed> claim(String run, HeartbeatTable beats, long readTo, long nowMillis) {
+  public Optional<RunClaimed> claim(
+      String run, HeartbeatTable heartbeats, long readTo, long nowMillis) {
     RunClaimed owner = owners.get(run);
-    if (owner != null && isOwnerAlive(owner, beats, nowMillis)) {
+    if (owner != null && isOwnerAlive(owner, heartbeats, nowMillis)) {
       ownerlessSinceMillis.remove(run);
       return Optional.empty();
     }
     long sinceMillis = ownerlessSinceMillis.computeIfAbsent(run, name -> nowMillis);
-    long delayMillis = beats.rankForKey(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
+    long delayMillis = heartbeats.rankForKey(streamOf.apply(run), node) * DELAY_PER_RANK_MILLIS;
     Long lastClaimMillis = claimedAtMillis.get(run);
     boolean isClaimPending =
         lastClaimMillis != null && nowMillis - lastClaimMillis < CLAIM_RETRY_MILLIS;
     if (isClaimPending
         || nowMillis - sinceMillis < delayMillis
-        || !beats.isAccepting(node, incarnation)) {
+        || !heartbeats.isAccepting(node, incarnation)) {
       return Optional.empty();
     }
     claimedAtMillis.put(run, nowMillis);
@@ -153,9 +154,9 @@
   }
 
   /** Returns whether an owner is alive; a recent claim counts as a sign of life. */
-  private boolean isOwnerAlive(RunClaimed owner, HeartbeatTable beats, long nowMillis) {
+  private boolean isOwnerAlive(RunClaimed owner, HeartbeatTable heartbeats, long nowMillis) {
     boolean isNewOwner = nowMillis - ownedSinceMillis.get(owner.run()) < NEW_OWNER_GRACE_MILLIS;
-    return beats.isAccepting(owner.node(), owner.incarnation())
-        || (isNewOwner && !beats.hasEnded(owner.node(), owner.incarnation()));
+    return heartbeats.isAccepting(owner.node(), owner.incarnation())
+        || (isNewOwner && !heartbeats.hasEnded(owner.node(), owner.incarnation()));
   }
 }
--- a/core/src/main/java/org/passhaven/core/job/ServerView.java
+++ b/core/src/main/java/org/passhaven/core/job/ServerView.java
@@ -53,12 +53,13 @@
   public List<ServerUse> createReport(int maxOfAll, int max, long nowMillis) {
     long limit = Math.max(1, Math.min(max, maxOfAll / (peerReports.reportingNodes() + 1)));
     return health.knownServers().stream()
-        .filter(start -> health.inProgress(start) > 0)
+        .filter(incarnation -> health.inProgress(incarnation) > 0)
         .sorted(
-            Comparator.comparingInt((ServerIncarnation start) -> -health.inProgress(start))
+            Comparator.comparingInt(
+                    (ServerIncarnation incarnation) -> -health.inProgress(incarnation))
                 .thenComparing(Comparator.naturalOrder()))
         .limit(limit)
-        .map(start -> toServerUse(start, nowMillis))
+        .map(incarnation -> toServerUse(incarnation, nowMillis))
         .toList();
   }
 
@@ -91,51 +92,53 @@
     }
   }
 
-  private void computeIntervals(List<ServerIncarnation> starts, long nowMillis) {
+  private void computeIntervals(List<ServerIncarnation> incarnations, long nowMillis) {
     Map<ServerIncarnation, Double> sustained = new HashMap<>();
-    for (ServerIncarnation start : starts) {
-      double ownMillis = intervalTracker.sustainedMillis(start, nowMillis);
-      sustained.put(start, ownMillis > 0 ? ownMillis : peerReports.pauseMillis(start, nowMillis));
+    for (ServerIncarnation incarnation : incarnations) {
+      double ownMillis = intervalTracker.sustainedMillis(incarnation, nowMillis);
+      sustained.put(
+          incarnation, ownMillis > 0 ? ownMillis : peerReports.pauseMillis(incarnation, nowMillis));
     }
     double[] known = sustained.values().stream().mapToDouble(p -> p).filter(p -> p > 0).toArray();
     Arrays.sort(known);
     double median = known.length == 0 ? DEFAULT_INTERVAL_MILLIS : known[(known.length - 1) / 2];
-    for (ServerIncarnation start : starts) {
-      peerSlotsInUse.put(start, (int) Math.round(peerReports.slotsInUse(start, nowMillis)));
-      double knownMillis = sustained.get(start);
+    for (ServerIncarnation incarnation : incarnations) {
+      peerSlotsInUse.put(
+          incarnation, (int) Math.round(peerReports.slotsInUse(incarnation, nowMillis)));
+      double knownMillis = sustained.get(incarnation);
       double sustainedMillis = knownMillis > 0 ? knownMillis : median;
       double recentMillis =
-          Math.max(sustainedMillis, intervalTracker.recentMillis(start, nowMillis));
-      intervalsByServer.put(start, new Intervals(sustainedMillis, recentMillis, median));
+          Math.max(sustainedMillis, intervalTracker.recentMillis(incarnation, nowMillis));
+      intervalsByServer.put(incarnation, new Intervals(sustainedMillis, recentMillis, median));
       if (sustainedMillis > SLOW_SERVER_RATIO * median) {
-        slow.add(start);
+        slow.add(incarnation);
       }
     }
   }
 
   /** Returns the current estimate of a server, for log lines. */
-  public ServerEstimate estimate(ServerIncarnation start, long nowMillis) {
-    Intervals known = intervalsByServer.get(start);
+  public ServerEstimate estimate(ServerIncarnation incarnation, long nowMillis) {
+    Intervals known = intervalsByServer.get(incarnation);
     double relativeInterval =
         known == null ? 1 : known.sustainedMillis() / known.serviceMedianMillis();
     return new ServerEstimate(
-        slotsInUse(start), relativeInterval, peerReports.ageMillis(start, nowMillis));
+        slotsInUse(incarnation), relativeInterval, peerReports.ageMillis(incarnation, nowMillis));
   }
 
   /** Returns the number of slots that the generations of all nodes use at a server. */
-  int slotsInUse(ServerIncarnation start) {
-    return health.inProgress(start) + peerSlotsInUse.getOrDefault(start, 0);
+  int slotsInUse(ServerIncarnation incarnation) {
+    return health.inProgress(incarnation) + peerSlotsInUse.getOrDefault(incarnation, 0);
   }
 
   /** Returns the sustained interval between events of a server; zero if it is not listed. */
-  double sustainedIntervalMillis(ServerIncarnation start) {
-    Intervals known = intervalsByServer.get(start);
+  double sustainedIntervalMillis(ServerIncarnation incarnation) {
+    Intervals known = intervalsByServer.get(incarnation);
     return known == null ? 0 : known.sustainedMillis();
   }
 
   /** Returns the expected time of some events at a server, including a current slowdown. */
-  double expectedMillis(double events, ServerIncarnation start) {
-    Intervals known = intervalsByServer.get(start);
+  double expectedMillis(double events, ServerIncarnation incarnation) {
+    Intervals known = intervalsByServer.get(incarnation);
     if (known == null) {
       return 0;
     }
--- a/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/backend/IndependentPlacementSimulation.java
@@ -179,12 +179,12 @@
 
   private final class Node {
     private final ServerHealth health = new ServerHealth();
-    private final PeakConcurrency use = new PeakConcurrency();
+    private final PeakConcurrency concurrency = new PeakConcurrency();
     private final Map<ServerIncarnation, List<Long>> idleSince = new HashMap<>();
     private final ServerSubset subset;
     private final ServerPicker byZone;
     private final ServerPicker inSubset;
-    private int turn;
+    private int requestsSent;
 
     Node(Member self) {
       subset = ServerSubset.of(self, members, servers);
@@ -201,7 +201,7 @@
       int own = servers.stream().mapToInt(server -> health.inProgress(server.incarnation())).sum();
       List<ServerEntry> candidates =
           subset
-              .forLoad(use.update(own + 1, nowMillis), turn++)
+              .forLoad(concurrency.update(own + 1, nowMillis), requestsSent++)
               .candidates(server -> inSubset.isGood(server, servers, nowMillis));
       return switch (strategy) {
         case BY_NAME -> byZone.pick(byName, Set.of(), nowMillis).orElseThrow();
--- a/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
+++ b/core/src/test/java/org/passhaven/core/backend/ServerSubsetTest.java
@@ -195,26 +195,26 @@
     List<Member> nodes = SubsetFixture.nodes(80, false, random);
     List<ServerEntry> servers = SubsetFixture.servers(12, false, random);
     ServerSubset subset = ServerSubset.of(nodes.get(0), nodes, servers);
-    for (int turn = 0; turn < 20; turn++) {
-      assertThat("18 slots for 4", subset.forLoad(4, turn), equalTo(subset));
+    for (int requestsSent = 0; requestsSent < 20; requestsSent++) {
+      assertThat("18 slots for 4", subset.forLoad(4, requestsSent), equalTo(subset));
     }
     assertThat(subset.forLoad(8, 0).size(), is(6));
     assertThat(subset.forLoad(16, 0).size(), is(11));
     assertThat(subset.forLoad(100, 0).size(), is(12));
     HashSet<ServerEntry> first = new HashSet<>();
-    for (int turn = 0; turn < 11; turn++) {
-      first.add(subset.forLoad(16, turn).byPreference().get(0));
+    for (int requestsSent = 0; requestsSent < 11; requestsSent++) {
+      first.add(subset.forLoad(16, requestsSent).byPreference().get(0));
     }
     assertThat(first, hasSize(11));
   }
 
   @Test
   void aPeakIsKeptBetweenTwoBurstsAndThenExpires() {
-    PeakConcurrency use = new PeakConcurrency();
-    assertThat(use.update(12, 0), is(12));
-    assertThat(use.update(1, 5_000), is(12));
-    assertThat(use.update(12, 6_000), is(12));
-    assertThat(use.update(1, 15_000), is(12));
-    assertThat(use.update(1, 16_001), is(1));
+    PeakConcurrency concurrency = new PeakConcurrency();
+    assertThat(concurrency.update(12, 0), is(12));
+    assertThat(concurrency.update(1, 5_000), is(12));
+    assertThat(concurrency.update(12, 6_000), is(12));
+    assertThat(concurrency.update(1, 15_000), is(12));
+    assertThat(concurrency.update(1, 16_001), is(1));
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/LengthEstimatorTest.java
+++ b/core/src/test/java/org/passhaven/core/job/LengthEstimatorTest.java
@@ -8,26 +8,26 @@
 
 /** Guards against wrong length estimates of texts with and without a hint. */
 class LengthEstimatorTest {
-  private final LengthEstimator estimate = new LengthEstimator();
+  private final LengthEstimator estimator = new LengthEstimator();
 
   @Test
   void hintIsScaledByEarlierTexts() {
-    estimate.onCompleted(100, 2);
-    estimate.onCompleted(300, 6);
-    assertThat(estimate.expectedEvents(500), closeTo(10, 0.001));
+    estimator.onCompleted(100, 2);
+    estimator.onCompleted(300, 6);
+    assertThat(estimator.expectedEvents(500), closeTo(10, 0.001));
   }
 
   @Test
   void meanIsExpectedWithoutAHint() {
-    estimate.onCompleted(0, 10);
-    estimate.onCompleted(0, 30);
-    assertThat(estimate.expectedEvents(0), closeTo(20, 0.1));
+    estimator.onCompleted(0, 10);
+    estimator.onCompleted(0, 30);
+    assertThat(estimator.expectedEvents(0), closeTo(20, 0.1));
   }
 
   @Test
   void textLongerThanExpectedCountsAsHalfDone() {
-    estimate.onCompleted(100, 10);
-    assertThat(estimate.remainingEvents(100, 4), closeTo(6, 0.001));
-    assertThat(estimate.remainingEvents(100, 40), equalTo(40.0));
+    estimator.onCompleted(100, 10);
+    assertThat(estimator.remainingEvents(100, 4), closeTo(6, 0.001));
+    assertThat(estimator.remainingEvents(100, 40), equalTo(40.0));
   }
 }
--- a/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
+++ b/core/src/test/java/org/passhaven/core/job/RunOwnersTest.java
@@ -14,15 +14,16 @@
 
 /** Guards against runs with two owners, and against runs that no node claims. */
 class RunOwnersTest {
-  private final HeartbeatTable beats = new HeartbeatTable(1_500);
+  private final HeartbeatTable heartbeats = new HeartbeatTable(1_500);
   private final RunOwners a = new RunOwners("a", 1, run -> "run/" + run);
 
-  private void heartbeat(String node, long incarnation, boolean taking, long now) {
-    beats.onHeartbeat(new MemberBeat(node, node + ":1", "z", incarnation, taking, 0, 0, 0, 0), now);
+  private void heartbeat(String node, long incarnation, boolean isAccepting, long now) {
+    heartbeats.onHeartbeat(
+        new MemberBeat(node, node + ":1", "z", incarnation, isAccepting, 0, 0, 0, 0), now);
   }
 
   private String firstCandidate(String run) {
-    return beats.rankForKey("run/" + run, "a") == 0 ? "a" : "b";
+    return heartbeats.rankForKey("run/" + run, "a") == 0 ? "a" : "b";
   }
 
   private String runWithFirstCandidate(String node) {
@@ -38,7 +39,7 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    RunClaimed claim = a.claim(run, beats, 0, 0).orElseThrow();
+    RunClaimed claim = a.claim(run, heartbeats, 0, 0).orElseThrow();
     assertThat(a.isOwnedHere(run), is(false));
     assertThat(a.apply(claim, 0, 0), is(true));
     assertThat(a.isOwnedHere(run), is(true));
@@ -53,7 +54,7 @@
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
     a.apply(new RunClaimed(run, 1, "b", 1, 0), 0, 0);
-    assertThat(a.claim(run, beats, 0, 0), equalTo(Optional.empty()));
+    assertThat(a.claim(run, heartbeats, 0, 0), equalTo(Optional.empty()));
   }
 
   @Test
@@ -63,7 +64,7 @@
     String run = runWithFirstCandidate("a");
     a.apply(new RunClaimed(run, 1, "b", 1, 0), 0, 0);
     heartbeat("b", 2, true, 10);
-    assertThat(a.claim(run, beats, 1, 10).orElseThrow().epoch(), equalTo(2L));
+    assertThat(a.claim(run, heartbeats, 1, 10).orElseThrow().epoch(), equalTo(2L));
   }
 
   @Test
@@ -71,9 +72,9 @@
     heartbeat("a", 1, true, 0);
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("b");
-    assertThat(a.claim(run, beats, 0, 0).isPresent(), is(false));
-    assertThat(a.claim(run, beats, 0, 199).isPresent(), is(false));
-    assertThat(a.claim(run, beats, 0, 200).isPresent(), is(true));
+    assertThat(a.claim(run, heartbeats, 0, 0).isPresent(), is(false));
+    assertThat(a.claim(run, heartbeats, 0, 199).isPresent(), is(false));
+    assertThat(a.claim(run, heartbeats, 0, 200).isPresent(), is(true));
   }
 
   @Test
@@ -82,21 +83,21 @@
     heartbeat("b", 1, true, 0);
     String run = runWithFirstCandidate("a");
     a.apply(new RunClaimed(run, 1, "b", 2, 0), 0, 0);
-    assertThat(a.claim(run, beats, 0, 900).isPresent(), is(false));
-    assertThat(a.claim(run, beats, 0, 1_000).isPresent(), is(true));
+    assertThat(a.claim(run, heartbeats, 0, 900).isPresent(), is(false));
+    assertThat(a.claim(run, heartbeats, 0, 1_000).isPresent(), is(true));
   }
 
   @Test
   void ownerIsGoneOnceALaterIncarnationIsKnown() {
     a.apply(new RunClaimed("r", 1, "b", 1, 0), 0, 0);
-    assertThat(a.isOwnerGone("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", heartbeats), is(false));
     heartbeat("b", 1, true, 0);
-    assertThat(a.isOwnerGone("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", heartbeats), is(false));
     heartbeat("b", 2, true, 10);
-    assertThat(a.isOwnerGone("r", beats), is(true));
-    assertThat(a.isOwnerGone("nobody's", beats), is(false));
+    assertThat(a.isOwnerGone("r", heartbeats), is(true));
+    assertThat(a.isOwnerGone("nobody's", heartbeats), is(false));
     a.apply(new RunClaimed("r", 2, "b", 3, 1), 1, 0);
-    assertThat(a.isOwnerGone("r", beats), is(false));
+    assertThat(a.isOwnerGone("r", heartbeats), is(false));
   }
 
   @Test
@@ -109,14 +110,14 @@
   @Test
   void leavingNodeClaimsNothing() {
     heartbeat("a", 1, false, 0);
-    assertThat(a.claim("r", beats, 0, 5_000).isPresent(), is(false));
+    assertThat(a.claim("r", heartbeats, 0, 5_000).isPresent(), is(false));
   }
 
   @Test
   void ownerRenewsItsClaimBeforeTheLogDropsIt() {
     heartbeat("a", 1, true, 0);
     String run = runWithFirstCandidate("a");
-    a.apply(a.claim(run, beats, 0, 0).orElseThrow(), 0, 0);
+    a.apply(a.claim(run, heartbeats, 0, 0).orElseThrow(), 0, 0);
     assertThat(a.renewals(5_000, stream -> 40, 4_999), empty());
     RunClaimed renewal = a.renewals(5_000, stream -> 40, 5_000).get(0);
     assertThat(renewal, equalTo(new RunClaimed(run, 1, "a", 1, 40)));
@@ -136,7 +137,7 @@
   void claimAfterAGapHasAHigherEpochThanAnyUsedBefore() {
     heartbeat("a", 1, true, 0);
     a.onGap("run/r");
-    RunClaimed claim = a.claim("r", beats, 500, 0).orElseThrow();
+    RunClaimed claim = a.claim("r", heartbeats, 500, 0).orElseThrow();
     assertThat(claim.epoch(), equalTo(501L));
   }
 
--- a/node/src/main/java/org/passhaven/node/gateway/AdmissionLogger.java
+++ b/node/src/main/java/org/passhaven/node/gateway/AdmissionLogger.java
@@ -30,7 +30,7 @@
   }
 
   /** Logs that a request was rejected before it was sent, up to a limit per second. */
-  void onRejected(String id, AdmissionRequest request, Load load, Reject verdict, long nowMillis) {
+  void onRejected(String id, AdmissionRequest request, Load load, Reject decision, long nowMillis) {
     if (nowMillis - secondStartMillis >= SECOND_MILLIS) {
       secondStartMillis = nowMillis;
       linesInSecond = 0;
@@ -38,8 +38,8 @@
     if (linesInSecond++ < MAX_REJECTIONS_PER_SECOND) {
       newEvent(Level.INFO, id, request, load)
           .addKeyValue("leftMillis", request.deadlineMillis() - nowMillis)
-          .addKeyValue("retryAfterMillis", verdict.retryAfterMillis())
-          .addKeyValue("reason", verdict.reason().text())
+          .addKeyValue("retryAfterMillis", decision.retryAfterMillis())
+          .addKeyValue("reason", decision.reason().text())
           .log("admission: rejected");
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -46,24 +46,24 @@
     if (crashes.hasNoSuspects() || isInTrial) {
       return true;
     }
-    RequestDecision verdict = crashes.verdict(fingerprint());
-    if (verdict instanceof RequestDecision.TrialDue due && !isRunning) {
+    RequestDecision decision = crashes.verdict(fingerprint());
+    if (decision instanceof RequestDecision.TrialDue due && !isRunning) {
       isClaiming = true;
       crashes
           .claimTrial(fingerprint(), due.number())
           .subscribe()
           .with(ignored -> onClaimed(whenClaimed));
     }
-    updateHeldBack(verdict);
-    return verdict instanceof RequestDecision.Unsuspected
-        || (verdict instanceof RequestDecision.SingleServer && !isRunning);
+    updateHeldBack(decision);
+    return decision instanceof RequestDecision.Unsuspected
+        || (decision instanceof RequestDecision.SingleServer && !isRunning);
   }
 
-  private void updateHeldBack(RequestDecision verdict) {
+  private void updateHeldBack(RequestDecision decision) {
     isHeldBack =
-        verdict instanceof RequestDecision.Quarantined
-            || verdict instanceof RequestDecision.TrialDue;
-    if (verdict instanceof RequestDecision.Quarantined held) {
+        decision instanceof RequestDecision.Quarantined
+            || decision instanceof RequestDecision.TrialDue;
+    if (decision instanceof RequestDecision.Quarantined held) {
       heldUntilMillis = held.untilMillis();
     }
   }
@@ -85,7 +85,7 @@
     return isInTrial;
   }
 
-  /** Returns whether the last verdict held the request back. */
+  /** Returns whether the last decision held the request back. */
   boolean isHeldBack() {
     return isHeldBack;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -36,15 +36,15 @@
     if (crashes.takeTrial(fingerprint)) {
       return true;
     }
-    RequestDecision verdict = crashes.verdict(fingerprint);
-    if (verdict instanceof RequestDecision.TrialDue due && pendingClaims.add(fingerprint)) {
+    RequestDecision decision = crashes.verdict(fingerprint);
+    if (decision instanceof RequestDecision.TrialDue due && pendingClaims.add(fingerprint)) {
       crashes
           .claimTrial(fingerprint, due.number())
           .subscribe()
           .with(ignored -> onClaimed(fingerprint));
     }
-    return verdict instanceof RequestDecision.Unsuspected
-        || verdict instanceof RequestDecision.SingleServer;
+    return decision instanceof RequestDecision.Unsuspected
+        || decision instanceof RequestDecision.SingleServer;
   }
 
   private void onClaimed(String fingerprint) {
--- a/node/src/main/java/org/passhaven/node/gateway/JobLog.java
+++ b/node/src/main/java/org/passhaven/node/gateway/JobLog.java
@@ -334,21 +334,21 @@
       LOG.atError().addKeyValue("reason", e.getMessage()).log("job: a record can't be read");
       return;
     }
-    if (record instanceof JobRecord.RunClaimed taken) {
-      onRunClaimed(taken, tails.get(partition).nextOffset() - 1);
+    if (record instanceof JobRecord.RunClaimed claim) {
+      onRunClaimed(claim, tails.get(partition).nextOffset() - 1);
     } else if (record instanceof JobRecord.OfJob ofJob) {
       onJobRecord(ofJob);
     }
   }
 
-  private void onRunClaimed(JobRecord.RunClaimed taken, long offset) {
+  private void onRunClaimed(JobRecord.RunClaimed claim, long offset) {
     // A claim read during the initial catch-up does not prove that the owner is alive now.
-    boolean isLive = tails.get(partitionOf(taken.run())).isCaughtUp();
-    if (owners.apply(taken, offset, isLive ? context.nowMillis() : NEVER_MILLIS)) {
+    boolean isLive = tails.get(partitionOf(claim.run())).isCaughtUp();
+    if (owners.apply(claim, offset, isLive ? context.nowMillis() : NEVER_MILLIS)) {
       LOG.atLevel(eventLogLevel())
-          .addKeyValue("run", taken.run())
-          .addKeyValue("epoch", taken.epoch())
-          .addKeyValue("runner", taken.node())
+          .addKeyValue("run", claim.run())
+          .addKeyValue("epoch", claim.epoch())
+          .addKeyValue("runner", claim.node())
           .log("job: run taken");
       refreshOwnStreams();
       ownerListeners.forEach(Runnable::run);
--- a/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PartitionStartScheduler.java
@@ -28,10 +28,10 @@
   }
 
   /** Schedules the partitions that are not started, ranked by the nodes that are live now. */
-  void schedule(HeartbeatTable beats) {
+  void schedule(HeartbeatTable heartbeats) {
     for (int partition = 0; partition < tails.size(); partition++) {
       if (!startedPartitions.get(partition)) {
-        schedule(partition, delayMillis(beats, tails.get(partition).stream()));
+        schedule(partition, delayMillis(heartbeats, tails.get(partition).stream()));
       }
     }
   }
@@ -54,11 +54,11 @@
   }
 
   /** Returns the delay by this node's rank, or a random one while no live node is known. */
-  private long delayMillis(HeartbeatTable beats, String stream) {
-    if (beats.acceptingNodes().isEmpty()) {
+  private long delayMillis(HeartbeatTable heartbeats, String stream) {
+    if (heartbeats.acceptingNodes().isEmpty()) {
       return context.randomBelow().applyAsInt(MAX_START_DELAY_MILLIS);
     }
-    int rank = beats.rankForKey(stream, context.settings().node());
+    int rank = heartbeats.rankForKey(stream, context.settings().node());
     return rank == 0
         ? 0
         : Math.min(
--- a/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
+++ b/node/src/main/java/org/passhaven/node/gateway/PlatformDirectory.java
@@ -145,10 +145,10 @@
   }
 
   /** Records that a server has loaded a weight version, which its entry may not show yet. */
-  public void onVersionLoaded(ServerIncarnation start, String model, long version) {
-    ServerEntry before = servers.get(start);
-    servers.onVersionReached(start, model, version);
-    if (!Objects.equals(before, servers.get(start))) {
+  public void onVersionLoaded(ServerIncarnation incarnation, String model, long version) {
+    ServerEntry before = servers.get(incarnation);
+    servers.onVersionReached(incarnation, model, version);
+    if (!Objects.equals(before, servers.get(incarnation))) {
       notifyListeners();
     }
   }
--- a/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
+++ b/node/src/main/java/org/passhaven/node/gateway/RequestAdmission.java
@@ -52,7 +52,7 @@
     void onAdmitted();
 
     /** Called when the request must not be sent, since it can't be served in time. */
-    void onRejected(Reject verdict);
+    void onRejected(Reject decision);
   }
 
   /** Creates the slot of a request, which {@link Slot#acquire} then requests. */
@@ -103,11 +103,11 @@
     void acquire(SlotListener slotListener) {
       listener = slotListener;
       service.slots.put(request.id(), this);
-      AdmissionDecision verdict = service.admission.decide(request, context.nowMillis());
-      if (verdict instanceof AdmissionDecision.Wait) {
+      AdmissionDecision decision = service.admission.decide(request, context.nowMillis());
+      if (decision instanceof AdmissionDecision.Wait) {
         onQueued();
       } else {
-        apply(verdict);
+        apply(decision);
       }
     }
 
@@ -120,8 +120,8 @@
       service.sweepLater();
     }
 
-    private void apply(AdmissionDecision verdict) {
-      if (verdict instanceof Reject reject) {
+    private void apply(AdmissionDecision decision) {
+      if (decision instanceof Reject reject) {
         rejected = reject;
         long now = context.nowMillis();
         context.metrics().onRejected(reject.reason());
--- a/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ResultTextCache.java
@@ -148,10 +148,10 @@
     TextLocation first = missing.get(0).text();
     long bytes = first.bytes();
     for (ItemFinished result : missing.subList(1, missing.size())) {
-      TextLocation place = result.text();
-      if (place != null && place.offset() > first.offset()) {
-        long records = place.offset() - first.offset();
-        bytes = Math.max(bytes, (records + 1) * Math.max(first.bytes(), place.bytes()));
+      TextLocation location = result.text();
+      if (location != null && location.offset() > first.offset()) {
+        long records = location.offset() - first.offset();
+        bytes = Math.max(bytes, (records + 1) * Math.max(first.bytes(), location.bytes()));
       }
     }
     return (int) Math.min(MAX_READ_BYTES, bytes);
--- a/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ServerCrashDetector.java
@@ -68,7 +68,7 @@
     }
     long interruptedAtMillis = context.nowMillis();
     return probesInFlight
-        .computeIfAbsent(server.incarnation(), start -> probe(server))
+        .computeIfAbsent(server.incarnation(), incarnation -> probe(server))
         .invoke(
             hasEnded -> {
               if (hasEnded) {
--- a/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/AdmissionServicesTest.java
@@ -72,7 +72,7 @@
               }
 
               @Override
-              public void onRejected(Reject verdict) {
+              public void onRejected(Reject decision) {
                 events.add(id + " rejected");
                 whenRejected.run();
               }
--- a/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobLogTest.java
@@ -18,7 +18,7 @@
 class JobLogTest {
   private static final int PARTITIONS = 16;
   private final ManualTimers timers = new ManualTimers();
-  private final HeartbeatTable beats = new HeartbeatTable(1_500);
+  private final HeartbeatTable heartbeats = new HeartbeatTable(1_500);
   private final MemoryLog records = new MemoryLog(timers);
   private final JobLog log =
       new JobLog(
@@ -36,7 +36,7 @@
 
   private String runWithFirstCandidate(String node) {
     for (int i = 0; ; i++) {
-      if (beats.rankForKey(log.streamOf("run" + i), node) == 0) {
+      if (heartbeats.rankForKey(log.streamOf("run" + i), node) == 0) {
         return "run" + i;
       }
     }
@@ -45,11 +45,11 @@
   @Test
   void theFirstCandidateReadsAPartitionBeforeOtherNodes() {
     for (String node : List.of("n", "other")) {
-      beats.onHeartbeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
+      heartbeats.onHeartbeat(new MemberBeat(node, node + ":1", "z", 1, true, 0, 0, 0, 0), 0);
     }
     String own = runWithFirstCandidate("n");
     String others = runWithFirstCandidate("other");
-    log.start(beats);
+    log.start(heartbeats);
     timers.advance(300);
     assertThat(log.isCaughtUp(own), is(true));
     assertThat(log.isCaughtUp(others), is(false));
@@ -60,7 +60,7 @@
 
   @Test
   void theNextClaimHasAHigherEpochThanTruncatedClaims() {
-    beats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
+    heartbeats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
     for (long epoch = 1; epoch <= 10; epoch++) {
@@ -68,7 +68,7 @@
       records.stream(stream).add(Codec.encode(claim));
     }
     records.truncate(stream, 10);
-    log.start(beats);
+    log.start(heartbeats);
     timers.advance(100);
     assertThat(log.owners().epochOf(run), is(0L));
     JobRecord.RunClaimed next = log.claim(run).orElseThrow();
@@ -78,10 +78,10 @@
 
   @Test
   void anOwnersClaimIsRenewedBeforeTheLogDropsIt() {
-    beats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
+    heartbeats.onHeartbeat(new MemberBeat("n", "n:1", "z", 1, true, 0, 0, 0, 0), 0);
     String run = runWithFirstCandidate("n");
     String stream = log.streamOf(run);
-    log.start(beats);
+    log.start(heartbeats);
     timers.advance(100);
     records.stream(stream).add(Codec.encode(log.claim(run).orElseThrow()));
     timers.advance(10_000);
--- a/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobRunnerTest.java
@@ -87,8 +87,8 @@
     timers.advance(400);
     assertThat(servers.cancelled, equalTo(0));
     assertThat(gateway.isDrained(), is(false));
-    JobRecord taken = new JobRecord.RunClaimed(MODEL, 1_001, "other", 1, 1_000);
-    log.stream("jobs.0").add(Codec.encode(taken));
+    JobRecord claim = new JobRecord.RunClaimed(MODEL, 1_001, "other", 1, 1_000);
+    log.stream("jobs.0").add(Codec.encode(claim));
     timers.advance(200);
     assertThat(servers.cancelled, equalTo(1));
     assertThat(gateway.isDrained(), is(true));
@@ -162,14 +162,14 @@
 
   private void appendClaimOfDeadNode(String run) {
     long readTo = log.stream("jobs.0").size();
-    JobRecord taken = new JobRecord.RunClaimed(run, readTo + 1, "gone", 1, readTo);
-    log.stream("jobs.0").add(Codec.encode(taken));
+    JobRecord claim = new JobRecord.RunClaimed(run, readTo + 1, "gone", 1, readTo);
+    log.stream("jobs.0").add(Codec.encode(claim));
   }
 
   private long ownClaimCount(String run) {
     return log.stream("jobs.0").stream()
         .map(bytes -> Codec.decode(bytes, JobRecord.class))
-        .filter(record -> record instanceof JobRecord.RunClaimed taken && taken.run().equals(run))
+        .filter(record -> record instanceof JobRecord.RunClaimed claim && claim.run().equals(run))
         .filter(record -> ((JobRecord.RunClaimed) record).node().equals("n"))
         .count();
   }
--- a/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/JobServiceTest.java
@@ -71,8 +71,8 @@
     List<byte[]> texts = log.stream(jobLog.textStreamOf("m"));
     byte[] encoded = Codec.encode(new ResultText("j", item, text));
     texts.add(encoded);
-    TextLocation place = new TextLocation(texts.size() - 1, encoded.length);
-    JobRecord record = new JobRecord.ItemFinished("j", item, true, place, List.of(1L), "s");
+    TextLocation location = new TextLocation(texts.size() - 1, encoded.length);
+    JobRecord record = new JobRecord.ItemFinished("j", item, true, location, List.of(1L), "s");
     log.stream(jobLog.streamOf("m")).add(Codec.encode(record));
   }
 
--- a/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/ResultTextCacheTest.java
@@ -68,8 +68,8 @@
   private ItemFinished appendResult(String item, String text) {
     byte[] record = Codec.encode(new ResultText("j", item, text));
     log.stream(STREAM).add(record);
-    TextLocation place = new TextLocation(log.stream(STREAM).size() - 1, record.length);
-    return new ItemFinished("j", item, true, place, List.of(1L), "s");
+    TextLocation location = new TextLocation(log.stream(STREAM).size() - 1, record.length);
+    return new ItemFinished("j", item, true, location, List.of(1L), "s");
   }
 
   private List<ItemFinished> appendResult(int items) {
