--- a/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
+++ b/core/src/test/java/org/passhaven/core/job/FakeModelServer.java
@@ -36,7 +36,7 @@
     }
   }
 
-  final ServerIncarnation start;
+  final ServerIncarnation incarnation;
   private final double slowness;
   private final PlacementSimulation simulation;
   private final List<ServerGeneration> running = new ArrayList<>();
@@ -47,14 +47,14 @@
 
   FakeModelServer(
       String name, double slowness, List<String> models, PlacementSimulation simulation) {
-    this.start = ServerIncarnation.of(name);
+    this.incarnation = ServerIncarnation.of(name);
     this.slowness = slowness;
     this.simulation = simulation;
     models.forEach(model -> versions.put(model, 1L));
   }
 
   ServerEntry entry() {
-    return new ServerEntry(start, "llm", start.id() + ":1", "z", SLOTS, true, versions);
+    return new ServerEntry(incarnation, "llm", incarnation.id() + ":1", "z", SLOTS, true, versions);
   }
 
   long versionOf(String model) {
--- a/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
+++ b/core/src/test/java/org/passhaven/core/job/PlacementSimulation.java
@@ -184,7 +184,7 @@
           LOAD_MILLIS,
           () -> {
             server.endLoad(order.model(), order.version());
-            planner.onLoaded(server.start);
+            planner.onLoaded(server.incarnation);
           });
     }
   }
--- a/node/src/main/java/org/passhaven/node/Node.java
+++ b/node/src/main/java/org/passhaven/node/Node.java
@@ -61,14 +61,14 @@
         new RequestService(
             context,
             new ServiceDirectory(context, machines),
-            configuration::activeImage,
+            configuration::activeSnapshot,
             membership::alive);
     this.runs =
         new RunManager(
             context, engines, new ServiceSampleScorer(context, requests), membership::alive);
     this.rollouts =
         new RolloutService(
-            new OwnerClient(context, runs, membership::alive), configuration::activeImage);
+            new OwnerClient(context, runs, membership::alive), configuration::activeSnapshot);
     configuration.addListener(
         image -> {
           membership.setRevision(image.revision());
@@ -152,7 +152,7 @@
                     context.incarnation(),
                     0,
                     MemberState.Status.LEAVING,
-                    configuration.activeImage().revision()));
+                    configuration.activeSnapshot().revision()));
     return new Status(
         self, membership.others(), runs.ownedShards(), runs.followedShardCount(), isReady());
   }
@@ -170,7 +170,7 @@
               ? Uni.createFrom()
                   .item(
                       new NodeRevision(
-                          member.node().value(), configuration.activeImage().revision()))
+                          member.node().value(), configuration.activeSnapshot().revision()))
               : fetchRevision(member));
     }
     return Uni.join().all(revisions).andFailFast();
@@ -206,7 +206,8 @@
     } else if (request instanceof PeerRequest.FetchConfiguration fetch) {
       return Uni.createFrom().item(configuration.onFetch(fetch));
     }
-    return Uni.createFrom().item(new PeerResponse.Revision(configuration.activeImage().revision()));
+    return Uni.createFrom()
+        .item(new PeerResponse.Revision(configuration.activeSnapshot().revision()));
   }
 
   /**
--- a/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
+++ b/node/src/main/java/org/passhaven/node/configuration/ConfigurationAgent.java
@@ -29,8 +29,9 @@
  * Follows the configuration in the log, activates its latest revision at this node and appends new
  * revisions. Used on the node's thread.
  *
- * <p>Invariant: the revision of the active image never decreases. The agent also fetches the image
- * from a peer that announces a newer revision and, while the log is unavailable, from any peer.
+ * <p>Invariant: the revision of the active snapshot never decreases. The agent also fetches the
+ * configuration from a peer that announces a newer revision and, while the log is unavailable, from
+ * any peer.
  */
 public final class ConfigurationAgent implements StreamListener {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationAgent.class);
@@ -66,9 +67,9 @@
   private final ConfigurationLog log = new ConfigurationLog();
   private final List<Consumer<ConfigurationSnapshot>> listeners = new ArrayList<>();
   private List<ConfigurationDocument> activeDocuments = List.of();
-  private ConfigurationSnapshot activeImage = ConfigurationSnapshot.EMPTY;
+  private ConfigurationSnapshot activeSnapshot = ConfigurationSnapshot.EMPTY;
 
-  /** Creates the agent; {@code members} returns the nodes that may have a newer image. */
+  /** Creates the agent; {@code members} returns the nodes that may have a newer revision. */
   public ConfigurationAgent(
       NodeContext context, ConfigurationParser parser, Supplier<List<MemberState>> members) {
     this.context = Objects.requireNonNull(context, "context");
@@ -77,7 +78,7 @@
     this.stream = new StreamClient(context, ConfigurationLog.STREAM, this);
   }
 
-  /** Adds a listener that is called with each newly active image. */
+  /** Adds a listener that is called with each newly active snapshot. */
   public void addListener(Consumer<ConfigurationSnapshot> listener) {
     listeners.add(listener);
   }
@@ -88,19 +89,19 @@
     context.timers().every(PEER_PERIOD_MILLIS, this::fetchFromPeer);
   }
 
-  /** Returns the active image. */
-  public ConfigurationSnapshot activeImage() {
-    return activeImage;
+  /** Returns the active snapshot. */
+  public ConfigurationSnapshot activeSnapshot() {
+    return activeSnapshot;
   }
 
-  /** Returns the documents of the active image. */
+  /** Returns the documents of the active snapshot. */
   public List<ConfigurationDocument> documents() {
     return activeDocuments;
   }
 
   /** Returns whether this node has read the configuration from the log or from a peer. */
   public boolean isReady() {
-    return stream.isCaughtUp() || activeImage.revision() > 0;
+    return stream.isCaughtUp() || activeSnapshot.revision() > 0;
   }
 
   /**
@@ -141,7 +142,7 @@
           .trainers()
           .forEach(
               (name, settings) -> {
-                TrainerSettings current = activeImage.trainers().get(name);
+                TrainerSettings current = activeSnapshot.trainers().get(name);
                 if (current != null && !current.shards().equals(settings.shards())) {
                   errors.add(
                       "trainer/" + name + ": shards: can't change; give the trainer a new name");
@@ -167,22 +168,23 @@
   }
 
   private void activate(long revision, List<ConfigurationDocument> documents) {
-    if (revision <= activeImage.revision()) {
+    if (revision <= activeSnapshot.revision()) {
       return;
     }
     try {
-      activeImage = parser.snapshot(revision, documents);
+      activeSnapshot = parser.snapshot(revision, documents);
     } catch (ConfigurationException e) {
       LOG.error("configuration: revision {} can't be read here: {}", revision, e.getMessage());
       return;
     }
     activeDocuments = documents;
     LOG.debug("configuration: revision {} is in force", revision);
-    listeners.forEach(listener -> listener.accept(activeImage));
+    listeners.forEach(listener -> listener.accept(activeSnapshot));
   }
 
   /**
-   * Fetches the image from a peer that has a newer revision, or from any peer if the log is down.
+   * Fetches the configuration from a peer that has a newer revision, or from any peer if the log is
+   * down.
    */
   private void fetchFromPeer() {
     List<MemberState> peers =
@@ -191,14 +193,14 @@
             .toList();
     Optional<MemberState> newerPeer =
         peers.stream()
-            .filter(state -> state.revision() > activeImage.revision())
+            .filter(state -> state.revision() > activeSnapshot.revision())
             .max(Comparator.comparingLong(MemberState::revision));
     if (peers.isEmpty() || (newerPeer.isEmpty() && !stream.isDown())) {
       return;
     }
     MemberState peer =
         newerPeer.orElseGet(() -> peers.get(context.randomBelow().applyAsInt(peers.size())));
-    PeerRequest request = new PeerRequest.FetchConfiguration(activeImage.revision());
+    PeerRequest request = new PeerRequest.FetchConfiguration(activeSnapshot.revision());
     Uni<PeerResponse> call =
         context.platform().peers().call(peer.address(), request, PEER_TIMEOUT_MILLIS);
     context
@@ -216,10 +218,10 @@
     }
   }
 
-  /** Returns the active image to a peer if it is newer than the peer's. */
+  /** Returns the active revision to a peer, with its documents if it is newer than the peer's. */
   public PeerResponse onFetch(PeerRequest.FetchConfiguration request) {
-    boolean isNewer = activeImage.revision() > request.newerThan();
+    boolean isNewer = activeSnapshot.revision() > request.newerThan();
     return new PeerResponse.Configuration(
-        activeImage.revision(), isNewer ? activeDocuments : List.of());
+        activeSnapshot.revision(), isNewer ? activeDocuments : List.of());
   }
 }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashGuard.java
@@ -9,8 +9,8 @@
 
 /**
  * Decides whether one request may be sent, given the servers that crashed while they ran it, and
- * records the results of its runs. A request that crashed servers is held back, then retried in
- * single trials.
+ * records the results of its runs. A quarantined request is held back until a trial is due, and
+ * runs only in trials.
  */
 final class CrashGuard {
   private final CrashTracker crashes;
@@ -46,7 +46,7 @@
     if (crashes.hasNoSuspects() || isInTrial) {
       return true;
     }
-    RequestDecision decision = crashes.verdict(fingerprint());
+    RequestDecision decision = crashes.decide(fingerprint());
     if (decision instanceof RequestDecision.TrialDue due && !isRunning) {
       isClaiming = true;
       crashes
@@ -71,7 +71,7 @@
   private void onClaimed(Runnable whenClaimed) {
     isClaiming = false;
     isInTrial = crashes.takeTrial(fingerprint());
-    updateHeldBack(crashes.verdict(fingerprint()));
+    updateHeldBack(crashes.decide(fingerprint()));
     whenClaimed.run();
   }
 
@@ -90,7 +90,7 @@
     return isHeldBack;
   }
 
-  /** Returns when the next trial of a held-back request is due, in monotonic milliseconds. */
+  /** Returns when the next trial of a quarantined request is due, in monotonic milliseconds. */
   long heldUntilMillis() {
     return heldUntilMillis;
   }
--- a/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
+++ b/node/src/main/java/org/passhaven/node/gateway/CrashTracker.java
@@ -85,13 +85,13 @@
   }
 
   /** Returns whether and how a request may run now. */
-  RequestDecision verdict(String fingerprint) {
+  RequestDecision decide(String fingerprint) {
     return table.decide(fingerprint, context.nowMillis());
   }
 
   /**
-   * Takes the trial of a held request if this node holds its claim. Returns whether this node may
-   * run the request once.
+   * Takes the trial of a quarantined request if this node holds its claim. Returns whether this
+   * node may run the request once.
    */
   boolean takeTrial(String fingerprint) {
     return table.takeTrial(fingerprint, context.settings().node(), context.incarnation());
--- a/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
+++ b/node/src/main/java/org/passhaven/node/gateway/DutyAgent.java
@@ -24,7 +24,7 @@
   /** Shorter than the claim delay between candidates, so that they claim in order of their rank. */
   private static final long STANDBY_DECISION_INTERVAL_MILLIS = 300;
 
-  /** Pause between reads on nodes that run jobs or may claim the lease next. */
+  /** Pause between reads on nodes that own a run or may claim the lease next. */
   private static final long STANDBY_READ_PAUSE_MILLIS = 150;
 
   /** Shorter than the silence of a live holder after which the first candidate claims the lease. */
--- a/node/src/main/java/org/passhaven/node/gateway/Gateway.java
+++ b/node/src/main/java/org/passhaven/node/gateway/Gateway.java
@@ -19,11 +19,14 @@
   private static final int MIN_NEAR_NODES = 2;
   private static final int MAX_ADDRESSES = 64;
 
-  /** Batches reads of server entries on nodes that run no jobs. */
+  /** Batches reads of server entries on nodes that own no run. */
   private static final long IDLE_SERVER_READ_PAUSE_MILLIS = 400;
 
-  /** Pause between reads of heartbeats on nodes that run jobs and must detect failures quickly. */
-  private static final long RUNNER_HEARTBEAT_READ_PAUSE_MILLIS = 250;
+  /**
+   * Pause between reads of heartbeats on nodes that must detect failures quickly: those that own a
+   * run, are on standby for open jobs, or have just started.
+   */
+  private static final long OWNER_HEARTBEAT_READ_PAUSE_MILLIS = 250;
 
   /** Pause between reads of heartbeats on nodes that callers recently asked for addresses. */
   private static final long DISCOVERY_HEARTBEAT_READ_PAUSE_MILLIS = 500;
@@ -120,7 +123,7 @@
 
   private long heartbeatReadPauseMillis() {
     if (jobLog.ownsAnyRun() || jobLog.isStandbyForOpenJobs() || members.hasJustStarted()) {
-      return RUNNER_HEARTBEAT_READ_PAUSE_MILLIS;
+      return OWNER_HEARTBEAT_READ_PAUSE_MILLIS;
     }
     boolean isDiscoveryActive = context.nowMillis() - lastDiscoveryMillis < DISCOVERY_ACTIVE_MILLIS;
     return isDiscoveryActive
--- a/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
+++ b/node/src/main/java/org/passhaven/node/gateway/ItemCrashGate.java
@@ -36,7 +36,7 @@
     if (crashes.takeTrial(fingerprint)) {
       return true;
     }
-    RequestDecision decision = crashes.verdict(fingerprint);
+    RequestDecision decision = crashes.decide(fingerprint);
     if (decision instanceof RequestDecision.TrialDue due && pendingClaims.add(fingerprint)) {
       crashes
           .claimTrial(fingerprint, due.number())
--- a/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/CompletionHandler.java
@@ -53,7 +53,9 @@
   private void handle(RoutingContext routing) {
     Body body = HttpMessages.readBody(routing, Body.class);
     ModelSettings model =
-        body.model() == null ? null : node.configuration().activeImage().models().get(body.model());
+        body.model() == null
+            ? null
+            : node.configuration().activeSnapshot().models().get(body.model());
     if (model == null || body.prompt() == null) {
       HttpMessages.sendProblem(
           routing,
@@ -71,7 +73,7 @@
             node.context().settings().minEngineSubsetSize());
     node.engines()
         .registerUse(
-            use, () -> node.configuration().activeImage().models().containsKey(body.model()));
+            use, () -> node.configuration().activeSnapshot().models().containsKey(body.model()));
     EnginePicker picker =
         new LeastLoadedPicker(node.engines().views(use), node.context().settings().zone());
     Optional<EngineView> engine = picker.pick(0, null);
--- a/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
+++ b/node/src/main/java/org/passhaven/node/http/OperatorHandler.java
@@ -117,7 +117,7 @@
         routing,
         HttpMessages.OK,
         new ConfigurationResponse(
-            node.configuration().activeImage().revision(), node.configuration().documents()));
+            node.configuration().activeSnapshot().revision(), node.configuration().documents()));
   }
 
   private void sendStatus(RoutingContext routing) {
--- a/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
+++ b/node/src/test/java/org/passhaven/node/gateway/CrashTrackerTest.java
@@ -119,7 +119,7 @@
     crashServers(second, "b");
     CrashTracker third = node("o");
     for (CrashTracker node : List.of(first, second, third)) {
-      assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+      assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
     }
   }
 
@@ -159,7 +159,7 @@
     addEntry(serverStartedAt("a", 3_100));
     addEntry(serverStartedAt("b", 3_200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+    assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -181,7 +181,7 @@
     interrupt(node, serverStartedAt("a", 100));
     interrupt(node, serverStartedAt("a", 200));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+    assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -234,7 +234,7 @@
     removeEntry("a");
     addEntry(new ServerEntry(ServerIncarnation.of("b2"), "s", "b:1", "z", 4, true, Map.of()));
     timers.advance(10);
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+    assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -244,11 +244,11 @@
     CrashTracker second = node("m");
     store.isDown = true;
     crashServers(first, "a", "b");
-    assertThat(first.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+    assertThat(first.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
     assertThat(second.hasNoSuspects(), is(true));
     store.isDown = false;
     timers.advance(400);
-    assertThat(second.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
+    assertThat(second.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class));
   }
 
   @Test
@@ -263,7 +263,7 @@
     assertThat(taken, equalTo(1L));
     nodes.forEach(
         node ->
-            assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class)));
+            assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.Quarantined.class)));
   }
 
   @Test
@@ -308,7 +308,7 @@
     }
     timers.advance(30_000);
     assertThat(store.currentValues("crashes").size(), equalTo(1_000 + 1));
-    assertThat(node.verdict(FINGERPRINT), instanceOf(RequestDecision.TrialDue.class));
+    assertThat(node.decide(FINGERPRINT), instanceOf(RequestDecision.TrialDue.class));
     timers.advance(1_300_000);
     assertThat(node.hasNoSuspects(), is(true));
     assertThat(store.currentValues("crashes").size(), equalTo(0));
--- a/simulator/src/main/java/org/passhaven/simulator/world/Operators.java
+++ b/simulator/src/main/java/org/passhaven/simulator/world/Operators.java
@@ -120,7 +120,7 @@
       if (host.node() == null || host.process().isPaused() || !host.node().isReady()) {
         continue;
       }
-      long revision = host.node().configuration().activeImage().revision();
+      long revision = host.node().configuration().activeSnapshot().revision();
       checker.onRevision(host.process().name(), revision);
       lowest = Math.min(lowest, revision);
     }
