--- a/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
+++ b/core/src/test/java/org/passhaven/core/job/TextRaceTest.java
@@ -21,7 +21,7 @@
   private static final int STEPS = 40;
   private static final int OWNERS = 3;
 
-  /** Model of how {@code TextLog} and {@link ItemExecution} handle one item of an owner. */
+  /** Model of how {@code PartialTextLog} and {@link ItemExecution} handle one item of an owner. */
   private static final class Owner {
     final long epoch;
     ItemText text;
